--- /dev/null
+++ b/.ci/imports_test.py
@@ -0,0 +1,178 @@
+"""Tests of the import check on made-up crates."""
+
+import os
+import sys
+import tempfile
+import unittest
+from importlib.machinery import SourceFileLoader
+from pathlib import Path
+from types import ModuleType
+from unittest import mock
+
+sys.dont_write_bytecode = True
+imports = ModuleType("imports")
+SourceFileLoader("imports", str(Path(__file__).with_name("imports"))).exec_module(imports)
+
+
+class ImportsTest(unittest.TestCase):
+    def setUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.addCleanup(os.chdir, os.getcwd())
+        self.repository = Path(folder.name)
+        self.known_imports = {}
+
+    def check(self, sources):
+        """Writes the source files of a crate, by their names below src/, and runs the check."""
+        for name, text in sources.items():
+            file = self.repository / "crates/sample/src" / name
+            file.parent.mkdir(parents=True, exist_ok=True)
+            file.write_text(text, encoding="utf-8")
+        with mock.patch.object(imports, "KNOWN_IMPORTS", self.known_imports):
+            imports.main(self.repository)
+
+    def assert_refused(self, sources, *expected):
+        with self.assertRaises(SystemExit) as refusal:
+            self.check(sources)
+        for text in expected:
+            self.assertIn(text, str(refusal.exception))
+
+    def assert_cycle(self, sources, *files):
+        steps = [f"src/{a} -> crates/sample/src/{b}" for a, b in zip(files, [*files[1:], files[0]])]
+        self.assert_refused(sources, "files that import each other:", *steps)
+
+    def test_imports_one_way_pass(self):
+        self.check({
+            "lib.rs": "mod a; mod b; mod c; pub use a::A;",
+            "a.rs": "use crate::b::B; use crate::c::C; pub struct A(B, C);",
+            "b.rs": "use crate::c::C; pub struct B(C);",
+            "c.rs": "use std::fmt; use std::fmt::Display; pub struct C;",
+        })
+
+    def test_two_files_that_import_each_other_are_a_cycle(self):
+        self.assert_cycle(
+            {
+                "main.rs": "mod a; mod b; fn main() {}",
+                "a.rs": "use crate::b::B; pub struct A(B);",
+                "b.rs": "use super::a::A; pub struct B(Box<A>);",
+            },
+            "a.rs", "b.rs",
+        )
+
+    def test_cycle_through_other_files_is_named_whole(self):
+        self.assert_cycle(
+            {
+                "lib.rs": "mod a; mod b; mod c;",
+                "a.rs": "use crate::b::B; pub struct A;",
+                "b.rs": "use crate::{c::{C, D as E}}; pub struct B;",
+                "c.rs": "use crate::a::{self, A}; pub struct C; pub struct D;",
+            },
+            "a.rs", "b.rs", "c.rs",
+        )
+
+    def test_every_separate_cycle_is_named(self):
+        self.assert_refused(
+            {
+                "lib.rs": "mod a; mod b; mod c; mod d;",
+                "a.rs": "use crate::b::B; pub struct A;",
+                "b.rs": "use crate::a::A; pub struct B;",
+                "c.rs": "use crate::d::D; pub struct C;",
+                "d.rs": "use crate::c::C; pub struct D;",
+            },
+            "src/a.rs -> ", "src/b.rs -> ", "src/c.rs -> ", "src/d.rs -> ",
+        )
+
+    def test_reexport_is_followed_to_the_sibling_that_defines_the_name(self):
+        self.assert_cycle(
+            {
+                "lib.rs": "mod parent;",
+                "parent.rs": "mod a; mod b; pub use a::A; pub(crate) use b::B as Renamed;",
+                "parent/a.rs": "use super::Renamed; pub struct A;",
+                "parent/b.rs": "use crate::parent::A; pub struct B;",
+            },
+            "parent/a.rs", "parent/b.rs",
+        )
+
+    def test_path_in_code_is_an_import(self):
+        self.assert_cycle(
+            {
+                "lib.rs": "mod a; mod b;",
+                "a.rs": "pub fn first() { super::b::second() }",
+                "b.rs": "use crate::a; pub fn second() { a::first() }",
+            },
+            "a.rs", "b.rs",
+        )
+
+    def test_parent_that_only_reexports_does_not_import(self):
+        self.check({
+            "lib.rs": "mod parent;",
+            "parent.rs": "mod child; pub use child::Child; pub const LIMIT: usize = 1;",
+            "parent/child.rs": "use super::LIMIT; pub struct Child;",
+        })
+
+    def test_parent_that_uses_what_it_reexports_imports_it(self):
+        self.assert_cycle(
+            {
+                "lib.rs": "mod parent;",
+                "parent.rs": "mod child; pub use child::Child; pub struct Parent(Child);",
+                "parent/child.rs": "use super::Parent; pub struct Child;",
+            },
+            "parent.rs", "parent/child.rs",
+        )
+
+    def test_reexport_of_a_module_that_is_not_below_is_an_import(self):
+        self.assert_cycle(
+            {
+                "lib.rs": "mod a; mod b;",
+                "a.rs": "pub use crate::b::B; pub struct A;",
+                "b.rs": "use crate::a::A; pub struct B;",
+            },
+            "a.rs", "b.rs",
+        )
+
+    def test_comments_and_strings_are_no_imports(self):
+        self.check({
+            "lib.rs": "mod a; mod b;",
+            "a.rs": "use crate::b::B; pub struct A;",
+            "b.rs": """//! See [`crate::a::A`].
+                /* use crate::a::A; */
+                pub struct B;
+                const TEXTS: [&str; 3] = ["use crate::a::A;", "a \\" crate::a::A", r#"crate::a::A " "#];
+                const QUOTES: [char; 2] = ['"', '\\'']; // crate::a::A
+                fn borrow<'a>(text: &'a str) -> &'a str { text }""",
+        })
+
+    def test_lifetimes_hide_no_import(self):
+        self.assert_cycle(
+            {
+                "lib.rs": "mod a; mod b;",
+                "a.rs": "use crate::b::B; pub struct A;",
+                "b.rs": "pub struct B<'a>(&'a crate::a::A, &'a str);",
+            },
+            "a.rs", "b.rs",
+        )
+
+    def test_test_modules_are_skipped(self):
+        self.check({
+            "lib.rs": "mod a; #[cfg(test)] mod tests;",
+            "a.rs": "pub struct A; #[cfg(test)]\nmod tests;",
+        })
+
+    def test_sources_that_cannot_be_followed_are_refused(self):
+        self.assert_refused({"lib.rs": "mod a;", "a.rs": "use super::*;"}, "wildcard import")
+        self.assert_refused({"lib.rs": "mod a { }"}, "module a has no file")
+        self.assert_refused({"lib.rs": "mod absent;"}, "module absent has no file")
+
+    def test_known_import_is_left_out_and_must_still_be_there(self):
+        sources = {
+            "lib.rs": "mod a; mod b;",
+            "a.rs": "use crate::b::B; pub struct A;",
+            "b.rs": "use crate::a::A; pub struct B;",
+        }
+        self.known_imports = {("crates/sample/src/b.rs", "crates/sample/src/a.rs"): "a reason"}
+        self.check(sources)
+        self.assert_refused(sources | {"b.rs": "pub struct B;"}, "remove it from KNOWN_IMPORTS")
+
+
+if __name__ == "__main__":
+    unittest.main()
