--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,47 +1,48 @@
-//! Decoding: an event of the wire becomes one in the balancer's terms.
+//! Decodes the wire's events for the balancer.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::EventError;
-use crate::instance_names::InstanceNames;
 use crate::wire::{
     WireAttemptEnded, WireEndpointUpdate, WireEvent, WireGossip, WireHealthChecked, WireOutcome, WireRequest,
     WireUpdateForm, FLAG_CLIENT_RETRY, FLAG_VALID_COST_HINT,
 };
+use crate::wire_identifiers::WireIdentifiers;
 use balancer_core::{
-    AttemptNumber, ClassId, Endpoint, EndpointUpdate, Event, Outcome, PeerId, Request, RoutingKey, Span,
-    TenantId, TimerId,
+    AttemptNumber, ClassId, EndpointUpdate, Event, Outcome, PeerId, Request, RoutingKey, Span, TenantId,
+    TimerId,
 };
 use balancer_settings::hash_name;
 
-/// The event for the balancer; `None` if it is about a request that has long been over.
+/// Decodes an event; `None` if it is about a request that is not known, because it is finished.
 ///
 /// # Errors
 ///
-/// If the event refers to what the instance cannot know, or has an unreadable payload.
+/// If the event refers to an endpoint list or server that the instance does not know, has the id of a request
+/// that is still in use, or has an invalid payload.
 pub fn decode(
     event: WireEvent<'_>,
-    names: &mut InstanceNames,
+    identifiers: &mut WireIdentifiers,
     lists: &EndpointLists,
 ) -> Result<Option<Event>, EventError> {
     let event = match event {
         WireEvent::EndpointUpdate(update) => {
-            Some(Event::Endpoints(decode_endpoint_update(&update, names, lists)?))
+            Some(Event::Endpoints(decode_endpoint_update(&update, identifiers, lists)?))
         }
-        WireEvent::Request(request) => Some(Event::Request(decode_request(&request, names)?)),
+        WireEvent::Request(request) => Some(Event::Request(decode_request(&request, identifiers)?)),
         WireEvent::FirstByte(first_byte) => {
             let attempt = AttemptNumber(first_byte.attempt);
-            let request = names.requests.find(&first_byte.request_id);
+            let request = identifiers.requests.find(&first_byte.request_id);
             request.map(|request| Event::FirstByte { request, attempt })
         }
-        WireEvent::AttemptEnded(ended) => decode_attempt_ended(ended, names),
+        WireEvent::AttemptEnded(ended) => decode_attempt_ended(ended, identifiers),
         WireEvent::ClientDisconnected { request_id } => {
-            let request = names.requests.disconnect(&request_id);
+            let request = identifiers.requests.disconnect(&request_id);
             request.map(|request| Event::ClientDisconnected { request })
         }
         WireEvent::TimerDue { timer } => Some(Event::TimerDue(TimerId(timer))),
-        WireEvent::HealthChecked(checked) => Some(decode_health_checked(checked, names)?),
+        WireEvent::HealthChecked(checked) => Some(decode_health_checked(checked, identifiers)?),
         WireEvent::Gossip(gossip) => Some(decode_gossip(&gossip)?),
-        // These are for the host; a balancer is not told of them.
+        // The host handles these events itself.
         WireEvent::Attach(_) | WireEvent::Retire {} | WireEvent::EndpointList(_) => None,
     };
     Ok(event)
@@ -49,25 +50,30 @@
 
 fn decode_endpoint_update(
     update: &WireEndpointUpdate,
-    names: &mut InstanceNames,
+    identifiers: &mut WireIdentifiers,
     lists: &EndpointLists,
 ) -> Result<EndpointUpdate, EventError> {
-    let wrap = match update.form {
+    let to_update = match update.form {
         WireUpdateForm::Failed => return Ok(EndpointUpdate::Failed),
         WireUpdateForm::Changes => EndpointUpdate::Changes,
         WireUpdateForm::Complete => EndpointUpdate::Complete,
         WireUpdateForm::Cached => EndpointUpdate::Cached,
     };
-    let list_number = update.list_number.ok_or(EventError::ListNotNamed)?;
+    let list_number = update.list_number.ok_or(EventError::MissingListNumber)?;
     let list = lists.get(list_number).ok_or(EventError::UnknownList { list_number })?;
-    let endpoints: Vec<Endpoint> =
-        list.iter().map(|listed| listed.to_endpoint(names.servers.intern(&listed.name))).collect();
-    Ok(wrap(endpoints))
+    let endpoints = list.iter().map(|listed| {
+        let server = identifiers.servers.intern(&listed.name);
+        listed.to_endpoint(server)
+    });
+    Ok(to_update(endpoints.collect()))
 }
 
-fn decode_request(request: &WireRequest<'_>, names: &mut InstanceNames) -> Result<Request, EventError> {
+fn decode_request(
+    request: &WireRequest<'_>,
+    identifiers: &mut WireIdentifiers,
+) -> Result<Request, EventError> {
     let duplicate = || EventError::DuplicateRequest { request_id: request.request_id.to_string() };
-    let id = names.requests.insert(&request.request_id).ok_or_else(duplicate)?;
+    let id = identifiers.requests.insert(&request.request_id).ok_or_else(duplicate)?;
     Ok(Request {
         id,
         class: ClassId(request.class),
@@ -90,8 +96,8 @@
     request.flags.unwrap_or(0) & flag != 0
 }
 
-fn decode_attempt_ended(ended: WireAttemptEnded<'_>, names: &mut InstanceNames) -> Option<Event> {
-    let request = names.requests.end_attempt(&ended.request_id, ended.is_request_finished)?;
+fn decode_attempt_ended(ended: WireAttemptEnded<'_>, identifiers: &mut WireIdentifiers) -> Option<Event> {
+    let request = identifiers.requests.end_attempt(&ended.request_id, ended.is_request_finished)?;
     Some(Event::AttemptEnded {
         request,
         attempt: AttemptNumber(ended.attempt),
@@ -102,9 +108,12 @@
     })
 }
 
-fn decode_health_checked(checked: WireHealthChecked<'_>, names: &InstanceNames) -> Result<Event, EventError> {
+fn decode_health_checked(
+    checked: WireHealthChecked<'_>,
+    identifiers: &WireIdentifiers,
+) -> Result<Event, EventError> {
     let unknown = || EventError::UnknownServer { server: checked.server.to_string() };
-    let server = names.servers.find(&checked.server).ok_or_else(unknown)?;
+    let server = identifiers.servers.find(&checked.server).ok_or_else(unknown)?;
     Ok(Event::HealthChecked {
         server,
         outcome: Outcome::from(checked.outcome),
--- a/crates/simulator-adapter/src/decode/tests.rs
+++ b/crates/simulator-adapter/src/decode/tests.rs
@@ -1,27 +1,27 @@
-//! Single events, from JSON to the balancer's terms.
+//! Single events, decoded from JSON.
 
 use super::decode;
 use crate::endpoint_lists::EndpointLists;
-use crate::instance_names::InstanceNames;
+use crate::wire_identifiers::WireIdentifiers;
 use balancer_core::{ClassId, Event, Outcome, PeerId, Request, RequestId, RoutingKey, Span, TenantId};
 use balancer_settings::hash_name;
 use std::rc::Rc;
 
-fn decode_json(json: &str, names: &mut InstanceNames) -> Option<Event> {
+fn decode_json(json: &str, identifiers: &mut WireIdentifiers) -> Option<Event> {
     let event = serde_json::from_str(json).expect("an event");
-    decode(event, names, &EndpointLists::default()).expect("an event that makes sense")
+    decode(event, identifiers, &EndpointLists::default()).expect("a valid event")
 }
 
 fn decode_request(fields: &str) -> Request {
     let json = format!(r#"{{"REQUEST":{{"ticket":"r","cls":1,"expiresInMs":640.125{fields}}}}}"#);
-    match decode_json(&json, &mut InstanceNames::default()) {
+    match decode_json(&json, &mut WireIdentifiers::default()) {
         Some(Event::Request(request)) => request,
-        other => panic!("{other:?} is no request"),
+        other => panic!("{other:?} is not a request"),
     }
 }
 
 #[test]
-fn all_fields_of_a_request_are_taken() {
+fn every_field_of_a_request_is_decoded() {
     let request = decode_request(r#","party":2,"affinity":"k:1","estimateMs":12.5,"opts":7"#);
 
     let expected = Request {
@@ -54,10 +54,10 @@
 
 #[test]
 fn hex_digits_of_both_cases_are_read() {
-    let mut names = InstanceNames::default();
+    let mut identifiers = WireIdentifiers::default();
 
-    let event = decode_json(r#"{"MAIL":{"srcPeer":4,"raw":"00aAfF7e"}}"#, &mut names);
-    let empty = decode_json(r#"{"MAIL":{"srcPeer":4,"raw":""}}"#, &mut names);
+    let event = decode_json(r#"{"MAIL":{"srcPeer":4,"raw":"00aAfF7e"}}"#, &mut identifiers);
+    let empty = decode_json(r#"{"MAIL":{"srcPeer":4,"raw":""}}"#, &mut identifiers);
 
     assert_eq!(event, Some(Event::Gossip { from: PeerId(4), payload: vec![0x00, 0xaa, 0xff, 0x7e] }));
     assert_eq!(empty, Some(Event::Gossip { from: PeerId(4), payload: Vec::new() }));
@@ -65,8 +65,8 @@
 
 #[test]
 fn outcomes_are_read_by_their_codes() {
-    let mut names = InstanceNames::default();
-    let server = names.servers.intern(&Rc::from("backend_a"));
+    let mut identifiers = WireIdentifiers::default();
+    let server = identifiers.servers.intern(&Rc::from("backend_a"));
     for (code, outcome) in [
         ("done", Outcome::Success),
         ("err", Outcome::ServerError),
@@ -79,9 +79,10 @@
     ] {
         let fields = format!(r#""backend":"backend_a","ending":"{code}","timeTakenMs":1.4,"gauge":[7,0.5]"#);
 
-        let event = decode_json(&format!(r#"{{"PROBED":{{{fields}}}}}"#), &mut names);
+        let event = decode_json(&format!(r#"{{"PROBED":{{{fields}}}}}"#), &mut identifiers);
 
-        let (elapsed, load_report) = (Span::from_ms(1.4), Some(vec![7.0, 0.5]));
+        let elapsed = Span::from_ms(1.4);
+        let load_report = Some(vec![7.0, 0.5]);
         assert_eq!(event, Some(Event::HealthChecked { server, outcome, elapsed, load_report }), "{code}");
     }
 }
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,34 +1,37 @@
-//! Encoding: an action of the balancer becomes one of the wire.
+//! Encodes the balancer's actions for the wire.
 
 use crate::error::ActionError;
-use crate::instance_names::InstanceNames;
 use crate::wire::{WireAction, ALL_PEERS};
+use crate::wire_identifiers::WireIdentifiers;
 use balancer_core::{Action, PeerId, RequestId, ServerId, Span};
 use std::rc::Rc;
 
-/// The action for the simulator. One that cannot be encoded becomes the report of a bug.
-pub fn encode(action: Action, names: &mut InstanceNames) -> WireAction {
-    try_encode(action, names).unwrap_or_else(|error| WireAction::ReportBug { text: error.to_string() })
+/// Encodes an action. One that cannot be encoded becomes [`WireAction::ReportBug`].
+pub fn encode(action: Action, identifiers: &mut WireIdentifiers) -> WireAction {
+    try_encode(action, identifiers).unwrap_or_else(|error| WireAction::ReportBug { text: error.to_string() })
 }
 
-fn try_encode(action: Action, names: &mut InstanceNames) -> Result<WireAction, ActionError> {
+fn try_encode(action: Action, identifiers: &mut WireIdentifiers) -> Result<WireAction, ActionError> {
     Ok(match action {
         Action::Send { request, server, timeout_at, .. } => WireAction::Send {
-            server: server_name(server, names)?,
-            request_id: owned(names.requests.start_attempt(request))?,
+            server: server_name(server, identifiers)?,
+            request_id: request_id(identifiers.requests.start_attempt(request))?,
             timeout_at_ms: timeout_at.as_ms(),
         },
-        Action::Cancel { request, attempt } => {
-            WireAction::Cancel { request_id: owned(names.requests.wire_id(request))?, attempt: attempt.0 }
-        }
+        Action::Cancel { request, attempt } => WireAction::Cancel {
+            request_id: request_id(identifiers.requests.wire_id(request))?,
+            attempt: attempt.0,
+        },
         Action::Reject { request, retry_after } => WireAction::Reject {
-            request_id: end_request(request, names)?,
+            request_id: close_request(request, identifiers)?,
             retry_after_ms: retry_after.map(Span::as_ms),
         },
-        Action::Fail { request } => WireAction::Fail { request_id: end_request(request, names)? },
+        Action::Fail { request } => WireAction::Fail { request_id: close_request(request, identifiers)? },
         Action::SetTimer { at, timer } => WireAction::SetTimer { at_ms: at.as_ms(), timer: timer.0 },
-        Action::CheckHealth { server } => WireAction::CheckHealth { server: server_name(server, names)? },
-        Action::CloseIdle { server } => WireAction::CloseIdle { server: server_name(server, names)? },
+        Action::CheckHealth { server } => {
+            WireAction::CheckHealth { server: server_name(server, identifiers)? }
+        }
+        Action::CloseIdle { server } => WireAction::CloseIdle { server: server_name(server, identifiers)? },
         Action::Gossip { to, payload } => {
             WireAction::Gossip { receiver: receiver(to), payload: hex::encode(payload) }
         }
@@ -37,16 +40,17 @@
     })
 }
 
-fn server_name(server: ServerId, names: &InstanceNames) -> Result<String, ActionError> {
-    let name = names.servers.name(server).ok_or(ActionError::UnknownServer(server))?;
+fn server_name(server: ServerId, identifiers: &WireIdentifiers) -> Result<String, ActionError> {
+    let name = identifiers.servers.name(server).ok_or(ActionError::UnknownServer(server))?;
     Ok(name.to_string())
 }
 
-fn end_request(request: RequestId, names: &mut InstanceNames) -> Result<String, ActionError> {
-    owned(names.requests.end(request))
+/// Records that the request has its final answer, and returns its id on the wire.
+fn close_request(request: RequestId, identifiers: &mut WireIdentifiers) -> Result<String, ActionError> {
+    request_id(identifiers.requests.close(request))
 }
 
-fn owned(wire_id: Option<&Rc<str>>) -> Result<String, ActionError> {
+fn request_id(wire_id: Option<&Rc<str>>) -> Result<String, ActionError> {
     wire_id.map(ToString::to_string).ok_or(ActionError::UnknownRequest)
 }
 
--- a/crates/simulator-adapter/src/encode/tests.rs
+++ b/crates/simulator-adapter/src/encode/tests.rs
@@ -1,27 +1,32 @@
-//! Single actions, from the balancer's terms to JSON.
+//! Single actions, encoded in JSON.
 
 use super::encode;
-use crate::instance_names::InstanceNames;
+use crate::wire_identifiers::WireIdentifiers;
 use balancer_core::{Action, AttemptNumber, PeerId, RequestId, ServerId, Span, Time, TimerId};
 use std::rc::Rc;
 
 const REQUEST: RequestId = RequestId(0);
 
-/// The names of an instance that knows one request and one server.
-fn known_names() -> (InstanceNames, ServerId) {
-    let mut names = InstanceNames::default();
-    assert_eq!(names.requests.insert("r-1"), Some(REQUEST));
-    let server = names.servers.intern(&Rc::from("backend_a"));
-    (names, server)
+/// The identifiers of an instance that knows one request and the server `backend_a`.
+fn known_identifiers() -> WireIdentifiers {
+    let mut identifiers = WireIdentifiers::default();
+    assert_eq!(identifiers.requests.insert("r-1"), Some(REQUEST));
+    identifiers.servers.intern(&Rc::from("backend_a"));
+    identifiers
 }
 
-fn to_json(action: Action, names: &mut InstanceNames) -> String {
-    serde_json::to_string(&encode(action, names)).expect("JSON")
+fn known_server(identifiers: &WireIdentifiers) -> ServerId {
+    identifiers.servers.find("backend_a").expect("a known server")
+}
+
+fn to_json(action: Action, identifiers: &mut WireIdentifiers) -> String {
+    serde_json::to_string(&encode(action, identifiers)).expect("JSON")
 }
 
 #[test]
 fn actions_about_requests_have_the_form_of_the_wire() {
-    let (mut names, server) = known_names();
+    let mut identifiers = known_identifiers();
+    let server = known_server(&identifiers);
     let timeout_at = Time::from_ms(8492.25);
     for (action, json) in [
         (
@@ -42,13 +47,14 @@
         ),
         (Action::Fail { request: REQUEST }, r#"{"ABORT":{"ticket":"r-1"}}"#),
     ] {
-        assert_eq!(to_json(action, &mut names), json);
+        assert_eq!(to_json(action, &mut identifiers), json);
     }
 }
 
 #[test]
 fn other_actions_have_the_form_of_the_wire() {
-    let (mut names, server) = known_names();
+    let mut identifiers = known_identifiers();
+    let server = known_server(&identifiers);
     let payload = vec![0x0a, 0xff];
     for (action, json) in [
         (
@@ -62,18 +68,19 @@
         (Action::WatchEndpoints, r#"{"FOLLOW":{"active":true}}"#),
         (Action::Log { text: "two servers".into() }, r#"{"NOTE_DOWN":{"what":"two servers"}}"#),
     ] {
-        assert_eq!(to_json(action, &mut names), json);
+        assert_eq!(to_json(action, &mut identifiers), json);
     }
 }
 
 #[test]
-fn action_about_what_the_instance_does_not_know_is_reported_as_a_bug() {
-    let (mut names, server) = known_names();
+fn action_about_an_unknown_request_or_server_is_reported_as_a_bug() {
+    let mut identifiers = known_identifiers();
+    let server = known_server(&identifiers);
     let unknown_request = Action::Fail { request: RequestId(9) };
     let unknown_server = Action::CloseIdle { server: ServerId(server.0.wrapping_add(1)) };
 
-    let request_bug = to_json(unknown_request, &mut names);
-    let server_bug = to_json(unknown_server, &mut names);
+    let request_bug = to_json(unknown_request, &mut identifiers);
+    let server_bug = to_json(unknown_server, &mut identifiers);
 
     assert_eq!(request_bug, r#"{"BUG":{"what":"an action for a request that is not open"}}"#);
     assert!(server_bug.starts_with(r#"{"BUG":{"what":"an action for server number "#), "{server_bug}");
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,36 +1,36 @@
-//! The endpoint lists of the process, which instances share and refer to by number.
+//! The endpoint lists of the process, which its instances share and refer to by number.
 
 use crate::wire::{WireEndpoint, WireEndpointList, WireEndpointStatus};
 use balancer_core::{CellId, Endpoint, EndpointStatus, MachineKindId, ServerId, Time, ZoneId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The weight of a server whose entry gives none.
+/// The weight of a server whose entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Endpoint lists by their numbers.
+/// The endpoint lists, by their numbers.
 #[derive(Debug, Default)]
 pub struct EndpointLists {
-    lists: BTreeMap<u32, Vec<ListedServer>>,
+    lists: BTreeMap<u32, Vec<ListedEndpoint>>,
 }
 
 impl EndpointLists {
-    /// Keeps a list under its number, in place of the one that had the number before.
+    /// Stores a list under its number, in place of the list that had the number before.
     pub fn insert(&mut self, list: WireEndpointList<'_>) {
-        let servers = list.endpoints.into_iter().map(ListedServer::from).collect();
-        self.lists.insert(list.list_number, servers);
+        let endpoints = list.endpoints.into_iter().map(ListedEndpoint::from).collect();
+        self.lists.insert(list.list_number, endpoints);
     }
 
     /// The list with this number.
-    pub fn get(&self, list_number: u32) -> Option<&[ListedServer]> {
+    pub fn get(&self, list_number: u32) -> Option<&[ListedEndpoint]> {
         self.lists.get(&list_number).map(Vec::as_slice)
     }
 }
 
-/// An entry of a list. It holds no [`ServerId`]: each instance numbers the servers for itself.
+/// An entry of a list. It has no [`ServerId`], because each instance numbers the servers itself.
 #[derive(Debug)]
-pub struct ListedServer {
-    /// The server's name, shared by all instances that know it.
+pub struct ListedEndpoint {
+    /// The server's name, whose text the instances share.
     pub name: Rc<str>,
     zone: ZoneId,
     machine_kind: MachineKindId,
@@ -40,8 +40,8 @@
     started_at: Option<Time>,
 }
 
-impl ListedServer {
-    /// The entry for an instance that knows the server by this number.
+impl ListedEndpoint {
+    /// The endpoint for an instance in which the server has this number.
     pub fn to_endpoint(&self, server: ServerId) -> Endpoint {
         Endpoint {
             server,
@@ -55,9 +55,9 @@
     }
 }
 
-impl From<WireEndpoint<'_>> for ListedServer {
+impl From<WireEndpoint<'_>> for ListedEndpoint {
     fn from(wire: WireEndpoint<'_>) -> Self {
-        ListedServer {
+        ListedEndpoint {
             name: Rc::from(&*wire.server),
             zone: ZoneId(wire.zone),
             machine_kind: MachineKindId(wire.machine_kind),
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! What ends a session before its input does. The texts are for the people who read the simulator's report.
+//! The errors of a session, and of actions that cannot be encoded. Their texts use the wire's names.
 
 use balancer_core::{ServerId, SettingsError};
 use std::{fmt, io};
 use thiserror::Error;
 
-/// Where in the input a line stands that does not tell its round.
+/// The position of a line whose round cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InputPosition {
     /// It is the first line.
     FirstRound,
-    /// It follows the batch of this round.
+    /// It is the line after the batch of this round.
     AfterRound(u64),
 }
 
@@ -22,66 +22,66 @@
     }
 }
 
-/// What ends a session.
+/// An error that ends a session.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// The input failed.
+    /// Reading the input failed.
     #[error("cannot read the input: {0}")]
     UnreadableInput(#[source] io::Error),
-    /// A line is no batch as the wire has them.
+    /// A line is not a batch in the wire's format.
     #[error("{position}: not a batch: {source}")]
     MalformedBatch {
-        /// Where the line stands.
+        /// The position of the line.
         position: InputPosition,
-        /// What is wrong with it.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// A batch cannot be played.
+    /// A batch cannot be handled.
     #[error("round {round}: {source}")]
-    UnplayableBatch {
+    InvalidBatch {
         /// The batch's round.
         round: u64,
-        /// What is wrong with it.
+        /// What is wrong.
         source: BatchError,
     },
-    /// A reply cannot be put into JSON.
+    /// A reply cannot be encoded in JSON.
     #[error("round {round}: {source}")]
     UnencodableReply {
         /// The reply's round.
         round: u64,
-        /// What is wrong with it.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// The output failed.
+    /// Writing the output failed.
     #[error("round {round}: cannot write the reply: {source}")]
     UnwritableOutput {
         /// The reply's round.
         round: u64,
-        /// How it failed.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
-/// Why a batch cannot be played.
+/// Why a batch cannot be handled.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// The batch's time is no time.
+    /// The batch's time is negative or not finite.
     #[error("tMs is {clock_ms}; a time of zero or more was expected")]
     InvalidClock {
-        /// The time that it gives.
+        /// The time, in milliseconds.
         clock_ms: f64,
     },
-    /// An event makes no sense.
+    /// An event is not valid.
     #[error("instance {instance}: {source}")]
     InvalidEvent {
         /// The instance that the event is for.
         instance: u32,
-        /// What is wrong with it.
+        /// What is wrong.
         source: EventError,
     },
 }
 
-/// Why an event makes no sense.
+/// Why an event is not valid.
 #[derive(Debug, Error)]
 pub enum EventError {
     /// The instance has not been started.
@@ -90,45 +90,45 @@
         /// The event's name on the wire.
         event: &'static str,
     },
-    /// No balancer can work with the settings.
+    /// The settings are not valid for a balancer.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// A REGISTRY event that should refer to a list refers to none.
+    /// A REGISTRY event with endpoints gives no list number.
     #[error("REGISTRY names no catalogue")]
-    ListNotNamed,
-    /// A REGISTRY event refers to a list that has not come.
+    MissingListNumber,
+    /// A REGISTRY event gives the number of a list that no CATALOG event has set up.
     #[error("REGISTRY names catalogue {list_number}, which no CATALOG has set up")]
     UnknownList {
-        /// The number that it gives.
+        /// The list number.
         list_number: u32,
     },
-    /// The id of a new request is that of a request which is still known.
+    /// A new request has the id of a request that is still in use.
     #[error("REQUEST {request_id} came twice")]
     DuplicateRequest {
-        /// The id.
+        /// The request's id.
         request_id: String,
     },
-    /// A health check is reported of a server that the instance cannot know.
+    /// A PROBED event is about a server that was in no list of this instance.
     #[error("PROBED names backend {server}, which no list has named")]
     UnknownServer {
         /// The server's name.
         server: String,
     },
-    /// Gossip is not in hexadecimal form.
+    /// The payload of a MAIL event is not hexadecimal.
     #[error("MAIL holds {payload:?}; an even number of hex digits was expected")]
     InvalidPayload {
-        /// What it holds.
+        /// The payload.
         payload: String,
     },
 }
 
-/// Why an action cannot be put on the wire: a bug of the decision code.
+/// Why an action cannot be encoded. Each is a bug in the decision code.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ActionError {
-    /// It is about a request that has not come or has been forgotten.
+    /// It is about a request that never arrived, or that is finished and has been removed.
     #[error("an action for a request that is not open")]
     UnknownRequest,
-    /// It is about a server that the instance has not been told of.
+    /// It is about a server that was in no list of this instance.
     #[error("an action for server number {}, which no list has named", .0.0)]
     UnknownServer(ServerId),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,9 +1,9 @@
-//! The host of all instances of this process: each event goes to the instance that it is for.
+//! The host of all instances of this process, which passes each event to the instance that it is for.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::{BatchError, EventError};
 use crate::instance::Instance;
-use crate::wire::{Batch, Reply, ReplyPart, WireAction, WireAttach, WireEvent};
+use crate::wire::{Batch, InstanceActions, InstanceEvents, Reply, WireAction, WireAttach, WireEvent};
 use balancer_core::Time;
 use std::collections::BTreeMap;
 
@@ -11,70 +11,70 @@
 #[derive(Default)]
 pub struct Host {
     endpoint_lists: EndpointLists,
+    /// By the instance's number.
     instances: BTreeMap<u32, Instance>,
 }
 
 impl Host {
-    /// Plays one batch and returns what the instances want done.
+    /// Handles the events of a batch in their order, and returns the actions of the instances.
     ///
     /// # Errors
     ///
-    /// If the batch has no proper time, or an event in it makes no sense.
-    pub fn play(&mut self, batch: Batch<'_>) -> Result<Reply, BatchError> {
+    /// If the batch's time is not valid, or an event in it is not.
+    pub fn handle_batch(&mut self, batch: Batch<'_>) -> Result<Reply, BatchError> {
         let clock_ms = batch.clock_ms;
         if !clock_ms.is_finite() || clock_ms < 0.0 {
             return Err(BatchError::InvalidClock { clock_ms });
         }
         let now = Time::from_ms(clock_ms);
-        let mut reply = Reply { round: batch.round, parts: Vec::new() };
-        for part in batch.parts {
-            let instance = part.instance;
+        let mut reply = Reply { round: batch.round, instances: Vec::new() };
+        for InstanceEvents { instance, events } in batch.instances {
             let mut actions = Vec::new();
-            for event in part.events {
-                self.take_event(now, instance, event, &mut actions)
+            for event in events {
+                self.handle_event(now, instance, event, &mut actions)
                     .map_err(|source| BatchError::InvalidEvent { instance, source })?;
             }
             if !actions.is_empty() {
-                reply.parts.push(ReplyPart { instance, actions });
+                reply.instances.push(InstanceActions { instance, actions });
             }
         }
         Ok(reply)
     }
 
-    fn take_event(
+    fn handle_event(
         &mut self,
         now: Time,
         instance: u32,
         event: WireEvent<'_>,
-        outbox: &mut Vec<WireAction>,
+        actions: &mut Vec<WireAction>,
     ) -> Result<(), EventError> {
         match event {
             WireEvent::EndpointList(list) => self.endpoint_lists.insert(list),
-            WireEvent::Attach(attach) => self.attach(now, instance, &attach, outbox)?,
+            WireEvent::Attach(attach) => self.attach(now, instance, &attach, actions)?,
             WireEvent::Retire {} => {
                 self.instances.remove(&instance);
-                // Nothing of the ended incarnation may act any more, not even earlier in this batch.
-                outbox.clear();
+                // The actions of the ended incarnation in this batch must not be carried out any more.
+                actions.clear();
             }
             event => {
                 let not_attached = EventError::NotAttached { event: event.name() };
                 let instance = self.instances.get_mut(&instance).ok_or(not_attached)?;
-                instance.handle(now, event, &self.endpoint_lists, outbox)?;
+                instance.handle(now, event, &self.endpoint_lists, actions)?;
             }
         }
         Ok(())
     }
 
-    /// Starts a new incarnation of an instance; the one before it, if any, is forgotten.
+    /// Starts a new incarnation of an instance, in place of the one before it, if any.
     fn attach(
         &mut self,
         now: Time,
         instance: u32,
         attach: &WireAttach,
-        outbox: &mut Vec<WireAction>,
+        actions: &mut Vec<WireAction>,
     ) -> Result<(), EventError> {
         let mut incarnation = Instance::new(attach)?;
-        incarnation.start(now, outbox);
+        incarnation.start(now, actions);
         self.instances.insert(instance, incarnation);
         Ok(())
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,19 +1,19 @@
-//! One instance: a balancer, and its names.
+//! One instance: a balancer, and the wire's identifiers of its servers and requests.
 
 use crate::decode::decode;
 use crate::encode::encode;
 use crate::endpoint_lists::EndpointLists;
 use crate::error::EventError;
-use crate::instance_names::InstanceNames;
 use crate::wire::{WireAction, WireAttach, WireEvent};
+use crate::wire_identifiers::WireIdentifiers;
 use balancer_core::{Action, Balancer, Settings, Time};
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// One incarnation of an instance.
+/// One incarnation of an instance: it lives from its start to the end or the restart of the simulated agent.
 pub struct Instance {
     balancer: Balancer,
-    names: InstanceNames,
+    identifiers: WireIdentifiers,
 }
 
 impl Instance {
@@ -21,51 +21,52 @@
     ///
     /// # Errors
     ///
-    /// If no balancer can work with the settings.
+    /// If the settings are not valid for a balancer.
     pub fn new(attach: &WireAttach) -> Result<Self, EventError> {
         let balancer = Balancer::new(Settings::from(&*attach.settings), attach.seed)?;
-        Ok(Instance { balancer, names: InstanceNames::default() })
+        Ok(Instance { balancer, identifiers: WireIdentifiers::default() })
     }
 
-    /// Starts the balancer; what it wants done is appended to `outbox`.
-    pub fn start(&mut self, now: Time, outbox: &mut Vec<WireAction>) {
-        self.run_balancer(outbox, |balancer, actions| balancer.start(now, actions));
+    /// Starts the balancer and appends its actions to `wire_actions`.
+    pub fn start(&mut self, now: Time, wire_actions: &mut Vec<WireAction>) {
+        self.run_balancer(wire_actions, |balancer, actions| balancer.start(now, actions));
     }
 
-    /// Tells the balancer of an event; what it wants done is appended to `outbox`.
+    /// Passes an event to the balancer and appends the balancer's actions to `wire_actions`.
     ///
     /// # Errors
     ///
-    /// If the event makes no sense for this instance.
+    /// If the event is not valid for this instance.
     pub fn handle(
         &mut self,
         now: Time,
         event: WireEvent<'_>,
         lists: &EndpointLists,
-        outbox: &mut Vec<WireAction>,
+        wire_actions: &mut Vec<WireAction>,
     ) -> Result<(), EventError> {
-        if let Some(event) = decode(event, &mut self.names, lists)? {
-            self.run_balancer(outbox, |balancer, actions| balancer.handle(now, event, actions));
+        if let Some(event) = decode(event, &mut self.identifiers, lists)? {
+            self.run_balancer(wire_actions, |balancer, actions| balancer.handle(now, event, actions));
         }
         Ok(())
     }
 
+    /// Runs a step of the balancer. A panic in it is reported in place of its actions.
     fn run_balancer(
         &mut self,
-        outbox: &mut Vec<WireAction>,
+        wire_actions: &mut Vec<WireAction>,
         step: impl FnOnce(&mut Balancer, &mut Vec<Action>),
     ) {
         let mut actions = Vec::new();
         // The simulator shows a panic's text only if it is reported as an action. The balancer may be
-        // inconsistent after a panic; that does no harm, for the simulator stops at the report.
+        // inconsistent after a panic, which does no harm because the simulator stops at the report.
         let result = catch_unwind(AssertUnwindSafe(|| step(&mut self.balancer, &mut actions)));
         if let Err(panic) = result {
-            outbox.push(WireAction::ReportBug { text: panic_text(&*panic) });
+            wire_actions.push(WireAction::ReportBug { text: panic_text(&*panic) });
             return;
         }
-        let names = &mut self.names;
-        outbox.extend(actions.into_iter().map(|action| encode(action, names)));
-        names.requests.sweep();
+        let identifiers = &mut self.identifiers;
+        wire_actions.extend(actions.into_iter().map(|action| encode(action, identifiers)));
+        identifiers.requests.prune();
     }
 }
 
--- a/crates/simulator-adapter/src/request_table.rs
+++ b/crates/simulator-adapter/src/request_id_map.rs
@@ -4,34 +4,42 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Ended requests are forgotten once this many requests are held, so that looking through all of them costs
-/// little for each request.
-const SWEEP_THRESHOLD: usize = 1024;
+/// Finished requests are removed only while the map holds at least this many, so that the cost of looking
+/// through all of them is spread over many requests.
+const PRUNING_THRESHOLD: usize = 1024;
 
-/// A request that may still be referred to.
+/// What is known of a request.
 #[derive(Debug)]
 struct RequestRecord {
     id: RequestId,
     attempts_in_flight: u32,
-    is_ended: bool,
+    /// It has its final answer, or its client has disconnected.
+    is_closed: bool,
 }
 
 impl RequestRecord {
-    fn is_awaited(&self) -> bool {
-        !self.is_ended || self.attempts_in_flight > 0
+    fn new(id: RequestId) -> Self {
+        RequestRecord { id, attempts_in_flight: 0, is_closed: false }
+    }
+
+    /// Whether no more events or actions refer to the request.
+    fn is_finished(&self) -> bool {
+        self.is_closed && self.attempts_in_flight == 0
     }
 }
 
-/// All requests of one instance that may still be referred to. "Wire id" is the id that the simulator gave.
+/// Maps the ids that the simulator gives to requests ("wire ids") to the balancer's numbers, and back.
+///
+/// A request is kept while it is open or has attempts in flight.
 #[derive(Debug, Default)]
-pub struct RequestTable {
+pub struct RequestIdMap {
     records: HashMap<Rc<str>, RequestRecord>,
     wire_ids: HashMap<RequestId, Rc<str>>,
     next_id: u64,
 }
 
-impl RequestTable {
-    /// Takes in a new request and numbers it; `None` if there is one with this wire id already.
+impl RequestIdMap {
+    /// Adds a new request and returns its number; `None` if its wire id is already in use.
     pub fn insert(&mut self, wire_id: &str) -> Option<RequestId> {
         if self.records.contains_key(wire_id) {
             return None;
@@ -39,8 +47,7 @@
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let wire_id: Rc<str> = Rc::from(wire_id);
-        let record = RequestRecord { id, attempts_in_flight: 0, is_ended: false };
-        self.records.insert(Rc::clone(&wire_id), record);
+        self.records.insert(Rc::clone(&wire_id), RequestRecord::new(id));
         self.wire_ids.insert(id, wire_id);
         Some(id)
     }
@@ -55,47 +62,48 @@
         self.wire_ids.get(&id)
     }
 
-    /// Counts an attempt that is sent, and returns the wire id.
+    /// Records that an attempt is sent, and returns the wire id of its request.
     pub fn start_attempt(&mut self, id: RequestId) -> Option<&Rc<str>> {
         let wire_id = self.wire_ids.get(&id)?;
         self.records.get_mut(wire_id)?.attempts_in_flight += 1;
         Some(wire_id)
     }
 
-    /// Counts an attempt that is over, and returns the request's number.
+    /// Records that an attempt has ended, and returns the number of its request. A request is finished once
+    /// it has its final answer.
     pub fn end_attempt(&mut self, wire_id: &str, is_request_finished: bool) -> Option<RequestId> {
         let record = self.records.get_mut(wire_id)?;
         record.attempts_in_flight = record.attempts_in_flight.saturating_sub(1);
-        record.is_ended |= is_request_finished;
+        record.is_closed |= is_request_finished;
         Some(record.id)
     }
 
-    /// Notes that the balancer has ended a request, and returns the wire id.
-    pub fn end(&mut self, id: RequestId) -> Option<&Rc<str>> {
+    /// Records that the balancer has rejected or failed a request, and returns its wire id.
+    pub fn close(&mut self, id: RequestId) -> Option<&Rc<str>> {
         let wire_id = self.wire_ids.get(&id)?;
-        self.records.get_mut(wire_id)?.is_ended = true;
+        self.records.get_mut(wire_id)?.is_closed = true;
         Some(wire_id)
     }
 
-    /// Notes that the client has disconnected, and returns the request's number.
+    /// Records that the client has disconnected and needs no answer, and returns the request's number.
     pub fn disconnect(&mut self, wire_id: &str) -> Option<RequestId> {
         let record = self.records.get_mut(wire_id)?;
-        record.is_ended = true;
+        record.is_closed = true;
         Some(record.id)
     }
 
-    /// Forgets requests that are ended and have no attempt in flight, if there is much to forget.
-    pub fn sweep(&mut self) {
-        if self.records.len() < SWEEP_THRESHOLD {
+    /// Removes finished requests if the map is large.
+    pub fn prune(&mut self) {
+        if self.records.len() < PRUNING_THRESHOLD {
             return;
         }
         let wire_ids = &mut self.wire_ids;
         self.records.retain(|_, record| {
-            let is_awaited = record.is_awaited();
-            if !is_awaited {
+            let is_finished = record.is_finished();
+            if is_finished {
                 wire_ids.remove(&record.id);
             }
-            is_awaited
+            !is_finished
         });
     }
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,15 +1,16 @@
-//! A session with the simulator: batches are read, played and answered until the input ends.
+//! A session with the simulator: reads batches and writes a reply to each until the input ends.
 
 use crate::error::{InputPosition, SessionError};
 use crate::host::Host;
 use crate::wire::{Batch, Reply};
 use std::io::{BufRead, Write};
 
-/// Answers each line of the input with one line of the output.
+/// Replies to each line of the input with one line of the output.
 ///
 /// # Errors
 ///
-/// If the input cannot be read or played, or the output cannot be written; nothing more is answered then.
+/// At the first line that cannot be read or handled, or whose reply cannot be written. The session is over
+/// then.
 pub fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), SessionError> {
     let mut host = Host::default();
     let mut position = InputPosition::FirstRound;
@@ -19,20 +20,21 @@
             .map_err(|source| SessionError::MalformedBatch { position, source })?;
         let round = batch.round;
         position = InputPosition::AfterRound(round);
-        let reply = host.play(batch).map_err(|source| SessionError::UnplayableBatch { round, source })?;
+        let reply =
+            host.handle_batch(batch).map_err(|source| SessionError::InvalidBatch { round, source })?;
         write_reply(output, &reply)?;
     }
     Ok(())
 }
 
-/// Reads the next line in place of the last one; false at the end of the input.
+/// Reads the next line into `line`, whose contents it replaces; false at the end of the input.
 fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>) -> Result<bool, SessionError> {
     line.clear();
     let length = input.read_until(b'\n', line).map_err(SessionError::UnreadableInput)?;
     Ok(length > 0)
 }
 
-/// Writes a line and flushes it: the simulator waits for it.
+/// Writes a reply and flushes it, because the simulator waits for it.
 fn write_reply(output: &mut impl Write, reply: &Reply) -> Result<(), SessionError> {
     let round = reply.round;
     let mut line =
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Whole sessions: lines of the project's own making go in, and the replies are looked at.
+//! Whole sessions: lines of input made by the tests, and the replies to them.
 
 mod errors;
 mod messages;
--- a/crates/simulator-adapter/src/tests/errors.rs
+++ b/crates/simulator-adapter/src/tests/errors.rs
@@ -1,22 +1,22 @@
-//! What bad input is answered with: an error whose text tells where and what, and no reply.
+//! Invalid input ends the session with an error that names the place and the reason, and without a reply.
 
-use super::messages::{attach, batch, play, registry, request};
+use super::messages::{attach, batch, registry, request, run_session};
 
 fn batch_after_attach(event: &str) -> String {
     batch(6, "10", &[(0, &[attach(), event.to_string()])])
 }
 
-fn assert_error(input: &str, expected_words: &str) {
-    let (end, replies) = play(input);
+fn assert_error(input: &str, expected_text: &str) {
+    let session = run_session(input);
 
-    let error = end.expect_err(expected_words);
-    assert!(error.contains(expected_words), "{error}");
-    assert!(replies.is_empty());
+    let error = session.result.expect_err(expected_text);
+    assert!(error.contains(expected_text), "{error}");
+    assert!(session.replies.is_empty());
 }
 
 #[test]
 fn error_names_the_round_and_what_is_wrong() {
-    for (line, words) in [
+    for (line, text) in [
         ("{\"tMs\":1\n".to_string(), "the first round: not a batch"),
         (batch_after_attach(r#"{"SURPRISE":{}}"#), "SURPRISE"),
         (batch_after_attach(r#"{"ELAPSED":{"keyBack":"x"}}"#), "invalid type"),
@@ -33,13 +33,13 @@
             "round 6: instance 0: settings name no request class",
         ),
     ] {
-        assert_error(&line, words);
+        assert_error(&line, text);
     }
 }
 
 #[test]
-fn error_in_an_event_tells_what_was_expected() {
-    for (line, words) in [
+fn error_in_an_event_names_what_was_expected() {
+    for (line, text) in [
         (batch(6, "-0.5", &[]), "round 6: tMs is -0.5; a time of zero or more was expected"),
         (batch_after_attach(r#"{"REGISTRY":{"form":"Complete","rev":1}}"#), "REGISTRY names no catalogue"),
         (batch_after_attach(r#"{"REGISTRY":{"form":"Error"}}"#), "missing field `rev`"),
@@ -56,17 +56,17 @@
             "round 6: instance 0: REQUEST r-1 came twice",
         ),
     ] {
-        assert_error(&line, words);
+        assert_error(&line, text);
     }
 }
 
 #[test]
-fn malformed_line_is_placed_after_the_last_round() {
-    let (end, replies) = play(&(batch(7, "10", &[]) + "no JSON\n"));
+fn malformed_line_is_located_by_the_round_before_it() {
+    let session = run_session(&(batch(7, "10", &[]) + "no JSON\n"));
 
-    let error = end.expect_err("the second line is no batch");
+    let error = session.result.expect_err("the second line is not a batch");
     assert!(error.starts_with("the round after 7: not a batch: "), "{error}");
-    assert_eq!(replies.len(), 1);
+    assert_eq!(session.replies.len(), 1);
 }
 
 #[test]
--- a/crates/simulator-adapter/src/tests/messages.rs
+++ b/crates/simulator-adapter/src/tests/messages.rs
@@ -1,9 +1,9 @@
-//! Input lines, and what a session answers to them.
+//! Lines of input, and sessions that run on them.
 
 use crate::session::run;
 use serde_json::{json, Value};
 
-/// Settings with two classes, and with keys that are of no use to a balancer.
+/// Settings with two classes, and with keys that the adapter does not know.
 const SETTINGS: &str = r#"{"balancers":2,"classes":[
  {"aimMs":200.0,"deadlineMs":800.0,"effect":"idempotent","group":"all","points":1.0,"stream":false,
   "novelty":[1]},
@@ -31,7 +31,7 @@
     entry.to_string()
 }
 
-/// An event that tells an instance of an endpoint list.
+/// An event that updates the endpoints of an instance to those of a list.
 pub fn registry(form: &str, list_number: u32) -> String {
     format!(r#"{{"REGISTRY":{{"form":"{form}","rev":1,"ref":{list_number}}}}}"#)
 }
@@ -55,13 +55,21 @@
     format!(r#"{{"who":{instance},"inbox":[{}]}}"#, events.join(","))
 }
 
-/// Plays a session; returns how it ended, with the text of an error, and the replies.
-pub fn play(input: &str) -> (Result<(), String>, Vec<Value>) {
+/// A session that has ended.
+pub struct EndedSession {
+    /// How it ended, with the text of an error.
+    pub result: Result<(), String>,
+    /// Its lines of output.
+    pub replies: Vec<Value>,
+}
+
+/// Runs a session on this input.
+pub fn run_session(input: &str) -> EndedSession {
     let mut output = Vec::new();
-    let end = run(&mut input.as_bytes(), &mut output).map_err(|error| error.to_string());
+    let result = run(&mut input.as_bytes(), &mut output).map_err(|error| error.to_string());
     let output = String::from_utf8(output).expect("UTF-8");
     let replies = output.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
-    (end, replies)
+    EndedSession { result, replies }
 }
 
 /// The fields of all actions with this name in a reply.
--- a/crates/simulator-adapter/src/tests/replies.rs
+++ b/crates/simulator-adapter/src/tests/replies.rs
@@ -1,16 +1,16 @@
-//! What the replies to good input hold.
+//! The replies to valid input.
 
-use super::messages::{actions, attach, batch, catalog, play, registry, request};
+use super::messages::{actions, attach, batch, catalog, registry, request, run_session};
 use serde_json::json;
 
 #[test]
 fn empty_batch_gets_an_empty_reply_and_end_of_input_is_no_error() {
     let input = batch(1, "8412.25", &[]);
 
-    let (end, replies) = play(&input);
+    let session = run_session(&input);
 
-    assert_eq!(end, Ok(()));
-    assert_eq!(replies, [json!({"round": 1, "parts": []})]);
+    assert_eq!(session.result, Ok(()));
+    assert_eq!(session.replies, [json!({"round": 1, "parts": []})]);
 }
 
 #[test]
@@ -23,20 +23,20 @@
     let first = batch(1, "358835696.557", &[(4, &arrival)]);
     let second = batch(2, "358835699.558", &[(4, &[refused_connection.to_string()])]);
 
-    let (end, replies) = play(&(first + &second));
+    let session = run_session(&(first + &second));
 
-    assert_eq!(end, Ok(()));
+    assert_eq!(session.result, Ok(()));
     let expected = json!({"ticket": "r-1", "backend": "backend_a", "untilMs": 358_836_336.682});
-    assert_eq!(actions(&replies[0], "ROUTE"), [&expected]);
+    assert_eq!(actions(&session.replies[0], "ROUTE"), [&expected]);
     assert_eq!(
-        actions(&replies[1], "ROUTE"),
+        actions(&session.replies[1], "ROUTE"),
         [&expected],
-        "the one server is tried again, to the same deadline"
+        "the only server is tried again, with the same deadline"
     );
 }
 
 #[test]
-fn list_number_is_taken_over_within_a_batch() {
+fn list_number_is_reused_within_a_batch() {
     let events = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -46,10 +46,10 @@
         request("r-1"),
     ];
 
-    let (end, replies) = play(&batch(1, "10", &[(0, &events)]));
+    let session = run_session(&batch(1, "10", &[(0, &events)]));
 
-    assert_eq!(end, Ok(()));
-    assert_eq!(actions(&replies[0], "ROUTE")[0]["backend"], "backend_b");
+    assert_eq!(session.result, Ok(()));
+    assert_eq!(actions(&session.replies[0], "ROUTE")[0]["backend"], "backend_b");
 }
 
 #[test]
@@ -57,10 +57,13 @@
     let start = batch(1, "10", &[(0, &[attach(), catalog(0, &["backend_a"]), registry("Complete", 0)])]);
     let restart = [request("old"), r#"{"RETIRE":{}}"#.into(), attach(), request("new")];
 
-    let (end, replies) = play(&(start + &batch(2, "20", &[(0, &restart)])));
+    let session = run_session(&(start + &batch(2, "20", &[(0, &restart)])));
 
-    assert_eq!(end, Ok(()));
-    assert!(actions(&replies[1], "ROUTE").is_empty(), "neither the old request nor the old list is known");
+    assert_eq!(session.result, Ok(()));
+    assert!(
+        actions(&session.replies[1], "ROUTE").is_empty(),
+        "neither the old request nor the old list is known"
+    );
 }
 
 #[test]
@@ -77,20 +80,20 @@
         r#"{"ELAPSED":{"keyBack":77}}"#.into(),
     ];
 
-    let (end, _) = play(&batch(1, "10", &[(0, &events)]));
+    let session = run_session(&batch(1, "10", &[(0, &events)]));
 
-    assert_eq!(end, Ok(()));
+    assert_eq!(session.result, Ok(()));
 }
 
 #[test]
-fn batch_of_megabytes_is_played() {
+fn batch_of_megabytes_is_handled() {
     let mut events = vec![attach(), catalog(0, &["backend_a", "backend_b"]), registry("Complete", 0)];
     events.extend((0..20_000).map(|number| request(&format!("{number:036}"))));
     let line = batch(1, "10", &[(0, &events)]);
     assert!(line.len() > 2_000_000);
 
-    let (end, replies) = play(&line);
+    let session = run_session(&line);
 
-    assert_eq!(end, Ok(()));
-    assert!(!actions(&replies[0], "ROUTE").is_empty());
+    assert_eq!(session.result, Ok(()));
+    assert!(!actions(&session.replies[0], "ROUTE").is_empty());
 }
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -1,11 +1,11 @@
-//! Actions as they stand on the wire.
+//! Wire format of actions.
 
 use serde::Serialize;
 
-/// The receiver of gossip that goes to every other instance.
+/// The receiver of gossip that is sent to every other instance.
 pub const ALL_PEERS: i64 = -1;
 
-/// An action.
+/// An action of an instance, for the simulator to carry out.
 #[derive(Debug, PartialEq, Serialize)]
 pub enum WireAction {
     /// Send an attempt of a request.
@@ -17,7 +17,7 @@
         /// The server's name.
         #[serde(rename = "backend")]
         server: String,
-        /// When the attempt times out.
+        /// When the attempt times out, in milliseconds.
         #[serde(rename = "untilMs")]
         timeout_at_ms: f64,
     },
@@ -30,17 +30,17 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// End a request as rejected.
+    /// Answer a request as rejected.
     #[serde(rename = "OVERLOAD_REPLY")]
     Reject {
         /// The request.
         #[serde(rename = "ticket")]
         request_id: String,
-        /// When a retry makes sense.
+        /// How long the client should wait before a retry, in milliseconds.
         #[serde(rename = "notBeforeForMs")]
         retry_after_ms: Option<f64>,
     },
-    /// End a request as failed.
+    /// Answer a request as failed.
     #[serde(rename = "ABORT")]
     Fail {
         /// The request.
@@ -50,10 +50,10 @@
     /// Set a timer.
     #[serde(rename = "TIMER")]
     SetTimer {
-        /// When it is due.
+        /// When it is due, in milliseconds.
         #[serde(rename = "atMs")]
         at_ms: f64,
-        /// What names it when it is due.
+        /// The timer's number, which the event of the due timer repeats.
         #[serde(rename = "keyBack")]
         timer: u64,
     },
@@ -64,7 +64,7 @@
         #[serde(rename = "backend")]
         server: String,
     },
-    /// Close idle connections.
+    /// Close the idle connections to a server.
     #[serde(rename = "CLOSE_IDLE")]
     CloseIdle {
         /// The server's name.
@@ -77,25 +77,25 @@
         /// The receiver's number, or [`ALL_PEERS`].
         #[serde(rename = "to")]
         receiver: i64,
-        /// What it holds, in hexadecimal digits.
+        /// The payload, in hexadecimal digits.
         #[serde(rename = "raw")]
         payload: String,
     },
-    /// Open or close the watch of the endpoint list.
+    /// Start or stop watching the endpoint list.
     #[serde(rename = "FOLLOW")]
     WatchEndpoints {
-        /// Whether to open it.
+        /// Whether to start the watch.
         #[serde(rename = "active")]
         is_active: bool,
     },
-    /// Put a text into the simulator's report.
+    /// Add a text to the simulator's report.
     #[serde(rename = "NOTE_DOWN")]
     Log {
         /// The text.
         #[serde(rename = "what")]
         text: String,
     },
-    /// Report a bug of the decision code; the simulator stops and shows the text.
+    /// Report a bug in the decision code; the simulator stops and shows the text.
     #[serde(rename = "BUG")]
     ReportBug {
         /// The text.
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -1,25 +1,25 @@
-//! Lines of input and of output.
+//! Wire format of the lines of input and output.
 
 use super::action::WireAction;
 use super::event::WireEvent;
 use serde::{Deserialize, Serialize};
 
-/// A line of input: what has happened to some of the instances by the time of the clock.
+/// A line of input: the events of some instances since the batch before it.
 #[derive(Debug, Deserialize)]
 pub struct Batch<'a> {
-    /// The time of the clock.
+    /// The simulator's time, in milliseconds.
     #[serde(rename = "tMs")]
     pub clock_ms: f64,
     /// The batch's number.
     pub round: u64,
-    /// What has happened to each instance.
-    #[serde(borrow)]
-    pub parts: Vec<BatchPart<'a>>,
+    /// The instances that have events.
+    #[serde(borrow, rename = "parts")]
+    pub instances: Vec<InstanceEvents<'a>>,
 }
 
 /// The events of one instance.
 #[derive(Debug, Deserialize)]
-pub struct BatchPart<'a> {
+pub struct InstanceEvents<'a> {
     /// The instance's number.
     #[serde(rename = "who")]
     pub instance: u32,
@@ -28,18 +28,19 @@
     pub events: Vec<WireEvent<'a>>,
 }
 
-/// A line of output: the answer to a batch.
+/// A line of output: the reply to a batch.
 #[derive(Debug, Serialize)]
 pub struct Reply {
     /// The batch's number.
     pub round: u64,
-    /// The actions of each instance; those that do nothing are left out.
-    pub parts: Vec<ReplyPart>,
+    /// The instances that have actions.
+    #[serde(rename = "parts")]
+    pub instances: Vec<InstanceActions>,
 }
 
 /// The actions of one instance.
 #[derive(Debug, Serialize)]
-pub struct ReplyPart {
+pub struct InstanceActions {
     /// The instance's number.
     #[serde(rename = "who")]
     pub instance: u32,
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! Events as they stand on the wire.
+//! Wire format of events.
 
 use balancer_settings::WireSettings;
 use serde::Deserialize;
@@ -6,31 +6,31 @@
 
 /// Bit of [`WireRequest::flags`]: the cost hint is valid.
 pub const FLAG_VALID_COST_HINT: u64 = 1;
-/// Bit of [`WireRequest::flags`]: the client says that this is a retry of its own.
+/// Bit of [`WireRequest::flags`]: the client marks the request as its own retry.
 pub const FLAG_CLIENT_RETRY: u64 = 2;
 
-/// An event.
+/// An event of an instance, or of the process.
 #[derive(Debug, Deserialize)]
 pub enum WireEvent<'a> {
     /// The instance starts.
     #[serde(rename = "ATTACH")]
     Attach(WireAttach),
-    /// The instance dies.
+    /// The instance ends, or restarts if another start follows.
     #[serde(rename = "RETIRE")]
     Retire {},
-    /// An endpoint list, for later reference by all instances of the process.
+    /// An endpoint list, to which later events of all instances of the process refer by number.
     #[serde(rename = "CATALOG", borrow)]
     EndpointList(WireEndpointList<'a>),
-    /// News of discovery.
+    /// An update from discovery.
     #[serde(rename = "REGISTRY")]
     EndpointUpdate(WireEndpointUpdate),
     /// A request has arrived.
     #[serde(rename = "REQUEST", borrow)]
     Request(WireRequest<'a>),
-    /// A stream has begun.
+    /// The first byte of a streamed response has arrived.
     #[serde(rename = "FIRST_BYTE", borrow)]
     FirstByte(WireFirstByte<'a>),
-    /// An attempt is over.
+    /// An attempt has ended.
     #[serde(rename = "DONE", borrow)]
     AttemptEnded(WireAttemptEnded<'a>),
     /// The client has disconnected.
@@ -43,11 +43,11 @@
     /// A timer is due.
     #[serde(rename = "ELAPSED")]
     TimerDue {
-        /// The timer.
+        /// The timer's number.
         #[serde(rename = "keyBack")]
         timer: u64,
     },
-    /// A health check is over.
+    /// A health check has ended.
     #[serde(rename = "PROBED", borrow)]
     HealthChecked(WireHealthChecked<'a>),
     /// Gossip has arrived.
@@ -74,10 +74,10 @@
     }
 }
 
-/// What an instance is told at its start.
+/// The start of an instance.
 #[derive(Debug, Deserialize)]
 pub struct WireAttach {
-    /// The seed of its random draws.
+    /// The seed of its random number generator.
     #[serde(rename = "salt")]
     pub seed: u64,
     /// Its settings.
@@ -88,7 +88,7 @@
 /// An endpoint list under its number.
 #[derive(Debug, Deserialize)]
 pub struct WireEndpointList<'a> {
-    /// The number by which instances are referred to it.
+    /// The list's number; a later list may replace this one under the same number.
     #[serde(rename = "ref")]
     pub list_number: u32,
     /// The entries.
@@ -102,47 +102,47 @@
     /// The server's name.
     #[serde(borrow, rename = "backend")]
     pub server: Cow<'a, str>,
-    /// Its zone.
+    /// The server's zone.
     #[serde(rename = "campus", default)]
     pub zone: u32,
-    /// Its kind of machine.
+    /// The server's kind of machine.
     #[serde(rename = "classOfHost", default)]
     pub machine_kind: u32,
-    /// Its cell.
+    /// The server's cell.
     #[serde(rename = "cluster", default)]
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub status: WireEndpointStatus,
-    /// Its size among the others.
+    /// The server's weight relative to the others.
     #[serde(rename = "units", default)]
     pub weight: Option<f64>,
-    /// When it last started; zero or absent if long ago.
+    /// When the server last started, in milliseconds; zero or absent if that was long ago.
     #[serde(rename = "lastStartMs", default)]
     pub started_at_ms: Option<f64>,
 }
 
-/// Whether a server takes requests.
+/// Whether a server accepts requests.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum WireEndpointStatus {
-    /// It does.
+    /// It accepts them.
     Serving,
-    /// It finishes what it has.
+    /// It finishes its open requests and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// It is no longer in the list.
     #[serde(rename = "DELETED")]
     Removed,
 }
 
-/// News of discovery for one instance.
+/// An update from discovery for one instance.
 #[derive(Debug, Deserialize)]
 pub struct WireEndpointUpdate {
-    /// How the list is to be read.
+    /// How the list relates to the list before it.
     pub form: WireUpdateForm,
-    /// Nothing is done with it, but an update without it is no update.
+    /// The list's version. It is not used, but required.
     #[serde(rename = "rev")]
     pub _revision: i64,
-    /// The number of the list; of no meaning if discovery has failed.
+    /// The number of the list; without meaning if discovery has failed.
     #[serde(rename = "ref", default)]
     pub list_number: Option<u32>,
 }
@@ -150,7 +150,7 @@
 /// How a list relates to the list before it.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum WireUpdateForm {
-    /// It holds only what has changed.
+    /// It holds only the changed entries.
     #[serde(rename = "Partial")]
     Changes,
     /// It is complete.
@@ -158,38 +158,38 @@
     /// It is complete, and was saved before a restart.
     #[serde(rename = "Persisted")]
     Cached,
-    /// There is no list: a call failed or the watch broke.
+    /// There is no list: a call has failed or the watch has ended.
     #[serde(rename = "Error")]
     Failed,
 }
 
-/// A request.
+/// A request that has arrived.
 #[derive(Debug, Deserialize)]
 pub struct WireRequest<'a> {
-    /// Its id.
+    /// The request's id.
     #[serde(borrow, rename = "ticket")]
     pub request_id: Cow<'a, str>,
     /// The tenant that sent it.
     #[serde(rename = "party", default)]
     pub tenant: Option<usize>,
-    /// Its class.
+    /// The request's class.
     #[serde(rename = "cls")]
     pub class: usize,
     /// The object that it concerns.
     #[serde(borrow, rename = "affinity", default)]
     pub routing_key: Option<Cow<'a, str>>,
-    /// A guess at its work; see [`FLAG_VALID_COST_HINT`].
+    /// An estimate of the work of the request, in milliseconds of core time; see [`FLAG_VALID_COST_HINT`].
     #[serde(rename = "estimateMs", default)]
     pub cost_hint_ms: Option<f64>,
-    /// A sum of bits.
+    /// A bit set: [`FLAG_VALID_COST_HINT`] and [`FLAG_CLIENT_RETRY`].
     #[serde(rename = "opts", default)]
     pub flags: Option<u64>,
-    /// How long the client still waits for an answer.
+    /// How long the client still waits for an answer, in milliseconds.
     #[serde(rename = "expiresInMs")]
     pub time_left_ms: f64,
 }
 
-/// The begin of a stream.
+/// The first byte of a streamed response.
 #[derive(Debug, Deserialize)]
 pub struct WireFirstByte<'a> {
     /// The request.
@@ -208,7 +208,7 @@
     /// Whether the request has had its final answer.
     #[serde(rename = "finished")]
     pub is_request_finished: bool,
-    /// The time since the attempt was sent.
+    /// The time since the attempt was sent, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub elapsed_ms: f64,
     /// How it ended.
@@ -230,7 +230,7 @@
     /// How it ended.
     #[serde(rename = "ending")]
     pub outcome: WireOutcome,
-    /// The time since the check was sent.
+    /// The time since the check was sent, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub elapsed_ms: f64,
     /// The server's load report.
@@ -241,28 +241,28 @@
 /// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum WireOutcome {
-    /// Served.
+    /// The request was served.
     #[serde(rename = "done")]
     Success,
     /// The server answered with an error.
     #[serde(rename = "err")]
     ServerError,
-    /// The server rejected it unprocessed.
+    /// The server rejected the request without processing it.
     #[serde(rename = "busy")]
     Rejected,
-    /// No answer in time.
+    /// There was no answer in time.
     #[serde(rename = "etimedout")]
     TimedOut,
-    /// No connection could be made in time.
+    /// No connection was established in time.
     #[serde(rename = "econnrefused")]
     ConnectFailed,
     /// The connection broke.
     #[serde(rename = "econnreset")]
     ConnectionReset,
-    /// Cancelled.
+    /// It was cancelled.
     #[serde(rename = "ecanceled")]
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     #[serde(rename = "skipped")]
     NotSent,
 }
@@ -273,7 +273,7 @@
     /// The sender's number.
     #[serde(rename = "srcPeer")]
     pub sender: u32,
-    /// What it holds, in hexadecimal digits.
+    /// The payload, in hexadecimal digits.
     #[serde(borrow, rename = "raw")]
     pub payload: Cow<'a, str>,
 }
