--- a/crates/balancer-settings/src/decision_settings.rs
+++ b/crates/balancer-settings/src/decision_settings.rs
@@ -1,4 +1,4 @@
-//! Conversion of the JSON form into the settings that decisions rest on.
+//! Converts the JSON form into the settings of a balancer.
 
 use crate::wire::{
     WireClass, WireDedupScope, WireDiscovery, WireEffect, WireFeedbackSource, WireGoal, WirePenalties,
@@ -10,7 +10,7 @@
 };
 
 impl From<&WireSettings> for Settings {
-    /// What is absent keeps the value of [`Settings::default`].
+    /// Absent keys keep the values of [`Settings::default`].
     fn from(wire: &WireSettings) -> Settings {
         let default = Settings::default();
         let limits = &wire.limits;
@@ -155,7 +155,7 @@
     match scope {
         Some(WireDedupScope::All) => DedupScope::Fleet,
         Some(WireDedupScope::Zone) => DedupScope::Zone,
-        // If no scope is stated, the narrowest one is the safe reading.
+        // Without a scope, the narrowest one is assumed, which is the safe choice.
         Some(WireDedupScope::Cell) | None => DedupScope::Cell,
     }
 }
--- a/crates/balancer-settings/src/host_settings.rs
+++ b/crates/balancer-settings/src/host_settings.rs
@@ -1,13 +1,15 @@
-//! What the program around a balancer needs of the settings.
+//! Converts the JSON form into the settings of a balancer's host.
 
 use crate::wire::WireSettings;
 use balancer_core::Span;
 
+/// The connect timeout of settings that give none.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
+/// The keepalive time of settings that give none.
 const DEFAULT_KEEPALIVE_MS: f64 = 15_000.0;
 
-/// The settings that a balancer's host needs beside those that decisions rest on: names, and limits of
-/// connections.
+/// The settings that a balancer's host needs in addition to [`Settings`](balancer_core::Settings): names, and
+/// time limits of connections.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostSettings {
     /// The names of the request classes, by [`ClassId`](balancer_core::ClassId).
@@ -21,7 +23,7 @@
     /// The names of the values of a load report, in the order of
     /// [`Settings::load_report_fields`](balancer_core::Settings::load_report_fields).
     pub load_report_fields: Vec<String>,
-    /// A connection that is not established after this time has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Span,
     /// A server closes a connection that has been idle for this long.
     pub keepalive: Span,
--- a/crates/balancer-settings/src/lib.rs
+++ b/crates/balancer-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object that a balancer is given: in the simulator's first message, and in the agent's
-//! configuration. Its JSON keys are known here and nowhere else.
+//! What the hosts of a balancer share: the settings object, which arrives in the simulator's first message or
+//! in the agent's configuration file, and the numbers of servers. Only this crate knows the settings' JSON keys.
 
 mod decision_settings;
 mod host_settings;
--- a/crates/balancer-settings/src/server_names.rs
+++ b/crates/balancer-settings/src/server_names.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The servers that one balancer knows by name. A server's number is a hash of its name, so that balancers
-/// mean the same server by it in their gossip.
+/// Maps the names of one balancer's servers to their numbers, and back. A server's number is derived from a
+/// hash of its name, so that the numbers in the gossip of other balancers refer to the same servers.
 #[derive(Debug, Default)]
 pub struct ServerNames {
     ids: HashMap<Rc<str>, ServerId>,
@@ -14,18 +14,18 @@
 }
 
 impl ServerNames {
-    /// A table without servers.
+    /// A map without servers.
     pub fn new() -> Self {
         ServerNames::default()
     }
 
-    /// The number of the server with this name, if it has one.
+    /// The number of the server with this name, if the server is known.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
 
-    /// The number of the server with this name; a new name is given one. If its hash is the number of another
-    /// name, it is given the next free number.
+    /// The number of the server with this name. A new server gets the low half of the hash of its name, or
+    /// the next free number if another server has that one.
     pub fn intern(&mut self, name: &Rc<str>) -> ServerId {
         if let Some(server) = self.find(name) {
             return server;
@@ -41,18 +41,19 @@
         self.names.get(&server)
     }
 
-    /// The numbers of all servers, in no certain order.
+    /// The numbers of all servers, in no particular order.
     pub fn servers(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.names.keys().copied()
     }
 
-    /// Forgets a server; its number is free for another name.
+    /// Removes a server, whose number becomes free for another one.
     pub fn forget(&mut self, server: ServerId) {
         if let Some(name) = self.names.remove(&server) {
             self.ids.remove(&name);
         }
     }
 
+    /// The first free number from `preferred` on.
     fn free_id(&self, preferred: u32) -> ServerId {
         let mut id = preferred;
         while self.names.contains_key(&ServerId(id)) {
--- a/crates/balancer-settings/src/wire.rs
+++ b/crates/balancer-settings/src/wire.rs
@@ -1,9 +1,9 @@
-//! The JSON form of the settings. An absent key takes its default, an unknown key is skipped.
+//! The JSON form of the settings. Absent keys have defaults, and unknown keys are ignored.
 
 use serde::Deserialize;
 
-/// The settings object as it stands in JSON. Read it through [`balancer_core::Settings`] and
-/// [`HostSettings`](crate::HostSettings), into which it converts.
+/// The settings object in JSON. It converts into [`balancer_core::Settings`] and
+/// [`HostSettings`](crate::HostSettings).
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct WireSettings {
@@ -56,7 +56,7 @@
     pub(crate) priority_weight: f64,
 }
 
-/// What repeating a request would do.
+/// The effect of processing a request twice.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireEffect {
@@ -66,7 +66,7 @@
     AtMostOnce,
 }
 
-/// The servers that drop repeats of a request.
+/// The servers that recognise and drop repeats of a request.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WireDedupScope {
@@ -93,7 +93,7 @@
     Live,
 }
 
-/// What the value of an answer is counted by.
+/// The unit in which the value of answers is counted.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WireValueBasis {
@@ -101,7 +101,7 @@
     Work,
 }
 
-/// Facts of this kind of service.
+/// Properties of the kind of service.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireServiceTraits {
@@ -117,7 +117,7 @@
     pub(crate) source: WireFeedbackSource,
 }
 
-/// The answers that load reports come with.
+/// The responses that carry load reports.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireFeedbackSource {
@@ -127,7 +127,7 @@
     Silent,
 }
 
-/// Weights of the parts of the result.
+/// Weights of the parts of the score.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WireGoal {
@@ -138,7 +138,7 @@
     pub(crate) worst_window: f64,
 }
 
-/// What the site allows.
+/// Limits, and features that the site permits.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WireLimits {
@@ -169,7 +169,7 @@
     pub(crate) name: String,
 }
 
-/// Points that costs take off the result.
+/// Points that each kind of cost takes off the score.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WirePenalties {
@@ -184,7 +184,7 @@
     pub(crate) wasted_work: f64,
 }
 
-/// Figures of the rules that a balancer must keep.
+/// Parameters of the rules that a balancer must keep.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireRules {
--- a/crates/balancer-settings/tests/names.rs
+++ b/crates/balancer-settings/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names and numbers: the hash of a name, and the numbers of servers.
+//! The hash of a name, and the numbers of servers.
 
 use balancer_core::ServerId;
 use balancer_settings::{hash_name, ServerNames};
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn colliding_name_takes_the_next_free_number() {
+fn colliding_name_gets_the_next_free_number() {
     let mut servers = ServerNames::new();
     let first = servers.intern(&name(COLLIDING[0]));
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn forgotten_server_leaves_its_number_to_another_name() {
+fn number_of_a_forgotten_server_is_free_for_another() {
     let mut servers = ServerNames::new();
     let first = servers.intern(&name(COLLIDING[0]));
 
--- a/crates/balancer-settings/tests/wire_settings.rs
+++ b/crates/balancer-settings/tests/wire_settings.rs
@@ -1,4 +1,4 @@
-//! The JSON form of the settings and what it is converted into.
+//! The JSON form of the settings, and its conversions.
 
 use balancer_core::{
     Costs, DedupScope, DiscoveryMode, Effect, EndpointWeights, GoalWeights, LoadReportField,
@@ -6,7 +6,7 @@
 };
 use balancer_settings::{HostSettings, WireSettings};
 
-/// Every key that is read, with a value that differs from its default.
+/// Every known key, with a value that differs from its default.
 const COMPLETE: &str = r#"{
  "balancers": 3,
  "classes": [{"aimStretch": 0.5, "aimMs": 150.0, "deadlineMs": 300.0, "dedupWindowMs": 900.0,
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn every_key_reaches_its_setting() {
+fn every_key_sets_its_setting() {
     let settings = Settings::from(&parse(COMPLETE));
 
     assert_eq!(settings, expected_settings());
 }
 
 #[test]
-fn every_key_for_hosts_reaches_its_setting() {
+fn every_key_for_hosts_sets_its_setting() {
     let host = HostSettings::from(&parse(COMPLETE));
 
     let expected = HostSettings {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn absent_keys_take_defaults_and_unknown_keys_are_skipped() {
+fn absent_keys_have_defaults_and_unknown_keys_are_ignored() {
     let wire = parse(r#"{"classes":[{"novelty":[1]}],"somethingNew":{"deep":[{}]},"limits":{"maxOpen":3}}"#);
 
     let settings = Settings::from(&wire);
@@ -140,7 +140,7 @@
     assert_eq!(settings.max_attempts, default.max_attempts);
     assert_eq!(settings.overload_window, default.overload_window);
     assert_eq!(settings.event_interval, default.event_interval);
-    assert_eq!(settings.classes[0].effect, Effect::AtMostOnce, "the safe reading of a missing effect");
+    assert_eq!(settings.classes[0].effect, Effect::AtMostOnce, "a missing effect has the safe default");
     assert_eq!(settings.classes[0].priority_weight, 0.0);
     assert_eq!(host.class_names, [""]);
     assert_eq!(host.connect_timeout, Span::from_ms(250.0));
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs balancers in the simulator: reads lines of events from standard input, and writes a line of actions for
-//! each to standard output.
+//! Runs balancers for the simulator: reads lines of events from standard input, and writes a line of actions
+//! for each to standard output.
 
 mod decode;
 mod encode;
