--- a/crates/balancer-settings/src/lib.rs
+++ b/crates/balancer-settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! What the hosts of a balancer share: the settings object, which arrives in the simulator's first message or
-//! in the agent's configuration file, and the numbers of servers. Only this crate knows the settings' JSON keys.
+//! in the agent's configuration file, and the numbers of servers. Only this crate knows the JSON keys.
 
 mod decision_settings;
 mod host_settings;
