--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -28,19 +28,29 @@
         }
         let now = Time::from_ms(clock_ms);
         let mut reply = Reply { round: batch.round, instances: Vec::new() };
-        for InstanceEvents { instance, events } in batch.instances {
-            let mut actions = Vec::new();
-            for event in events {
-                self.handle_event(now, instance, event, &mut actions)
-                    .map_err(|source| BatchError::InvalidEvent { instance, source })?;
-            }
-            if !actions.is_empty() {
-                reply.instances.push(InstanceActions { instance, actions });
+        for instance_events in batch.instances {
+            let instance_actions = self.handle_events(now, instance_events)?;
+            if !instance_actions.actions.is_empty() {
+                reply.instances.push(instance_actions);
             }
         }
         Ok(reply)
     }
 
+    fn handle_events(
+        &mut self,
+        now: Time,
+        instance_events: InstanceEvents<'_>,
+    ) -> Result<InstanceActions, BatchError> {
+        let instance = instance_events.instance;
+        let mut actions = Vec::new();
+        for event in instance_events.events {
+            self.handle_event(now, instance, event, &mut actions)
+                .map_err(|source| BatchError::InvalidEvent { instance, source })?;
+        }
+        Ok(InstanceActions { instance, actions })
+    }
+
     fn handle_event(
         &mut self,
         now: Time,
