--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -16,7 +16,7 @@
 use crate::request::{ClientRequest, FinalAnswer};
 use crate::upstream::{AttemptOutcome, AttemptProgress, ConnectionPool, PoolLimits, ServerClient};
 use balancer_core::{
-    Action, Balancer, ClassId, Effect, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId,
+    Action, Balancer, ClassId, Effect, Endpoint, EndpointUpdate, Event, Notice, Outcome, Request, RequestId,
     ServerId, SettingsError, Span, Time,
 };
 use balancer_settings::HostSettings;
@@ -231,7 +231,7 @@
             }
             // Agents of this deployment have no way to talk to each other, and the settings say so.
             Action::Gossip { .. } => {}
-            Action::Log { text } => eprintln!("{text}"),
+            Action::Notify(notice) => eprintln!("{}", describe(&notice)),
         }
     }
 
@@ -321,6 +321,18 @@
     }
 }
 
+fn describe(notice: &Notice) -> String {
+    match notice {
+        Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
+            "server {} ejected ({reason}): latency ratio {:.2} of a fleet median of {:.2}",
+            server.0,
+            latency_ratio.value(),
+            fleet_median.value()
+        ),
+        _ => format!("{notice:?}"),
+    }
+}
+
 fn elapsed_since(instant: Instant) -> Span {
     Span(instant.elapsed().as_micros() as u64)
 }
--- a/crates/balancer-agent/src/driver/servers.rs
+++ b/crates/balancer-agent/src/driver/servers.rs
@@ -59,7 +59,7 @@
                 EndpointHealth::Removed => EndpointStatus::Removed,
             },
             weight: entry.weight,
-            started_at: is_lately_started.then(|| Time::from_ms(entry.started_at_ms)),
+            started_at: is_lately_started.then(|| Time::from_millis_f64(entry.started_at_ms)),
         }
     }
 
--- a/crates/balancer-agent/src/listener/response.rs
+++ b/crates/balancer-agent/src/listener/response.rs
@@ -35,7 +35,7 @@
 
 fn rejection(retry_after: Option<Span>) -> ClientResponse {
     let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless");
-    let seconds = retry_after.map(|after| format!("{:.3}", after.as_ms() / 1e3));
+    let seconds = retry_after.map(|after| format!("{:.3}", after.as_millis_f64() / 1e3));
     let value = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok());
     response.headers_mut().extend(value.map(|value| (RETRY_AFTER, value)));
     response
--- a/crates/balancer-agent/src/listener/validation.rs
+++ b/crates/balancer-agent/src/listener/validation.rs
@@ -124,7 +124,7 @@
 fn cost_hint_of(head: &Parts) -> Option<Span> {
     let micros = header_text(&head.headers, "x-cost").and_then(|cost| cost.parse::<f64>().ok());
     let micros = micros.filter(|micros| *micros > 0.0 && micros.is_finite());
-    micros.map(|micros| Span::from_ms(micros / 1e3))
+    micros.map(|micros| Span::from_millis_f64(micros / 1e3))
 }
 
 /// A header's value, if it is text.
--- a/crates/balancer-agent/src/upstream/attempt.rs
+++ b/crates/balancer-agent/src/upstream/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::counted_stream::WireState;
 use crate::request::ServedAnswer;
-use balancer_core::Outcome;
+use balancer_core::{LoadReport, Outcome};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -68,7 +68,7 @@
     /// The outcome in the balancer's terms.
     pub outcome: Outcome,
     /// The load report that came along.
-    pub load_report: Option<Vec<f64>>,
+    pub load_report: Option<LoadReport>,
     /// The complete answer of a served request.
     pub answer: Option<ServedAnswer>,
 }
--- a/crates/balancer-agent/src/upstream/response.rs
+++ b/crates/balancer-agent/src/upstream/response.rs
@@ -1,7 +1,7 @@
 //! Reading the answers of servers (PROTOCOL page, "Agents to order servers").
 
 use super::MAX_BODY;
-use balancer_core::Outcome;
+use balancer_core::{LoadReport, Outcome};
 use hyper::body::Body;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
@@ -30,13 +30,13 @@
 }
 
 /// The load report in an answer's header, if there is one.
-pub fn load_report_of<B>(response: &Response<B>, fields: &[String]) -> Option<Vec<f64>> {
+pub fn load_report_of<B>(response: &Response<B>, fields: &[String]) -> Option<LoadReport> {
     let header = response.headers().get("x-server-load").and_then(|value| value.to_str().ok());
     header.and_then(|text| parse_load_report(text, fields))
 }
 
 /// Reads `TEXT inflight=7, queue=2` into the order of the settings; none if it says nothing of their fields.
-pub fn parse_load_report(text: &str, fields: &[String]) -> Option<Vec<f64>> {
+pub fn parse_load_report(text: &str, fields: &[String]) -> Option<LoadReport> {
     let text = text.trim();
     let pairs = text.strip_prefix("TEXT").unwrap_or(text);
     let mut report = vec![f64::NAN; fields.len()];
@@ -45,7 +45,7 @@
         let Some(position) = fields.iter().position(|field| field.as_str() == name.trim()) else { continue };
         report[position] = value.trim().parse().unwrap_or(f64::NAN);
     }
-    report.iter().any(|value| value.is_finite()).then_some(report)
+    report.iter().any(|value| value.is_finite()).then(|| LoadReport::new(report))
 }
 
 #[cfg(test)]
--- a/crates/balancer-core/src/balancer.rs
+++ b/crates/balancer-core/src/balancer.rs
@@ -3,22 +3,18 @@
 
 use crate::policy::{AdmissionControl, WatchRetry};
 use crate::state::{
-    ActiveRequest, AttemptKey, Budget, EjectionReason, EndedAttempt, FleetLatency, FleetView,
-    InFlightAttempt, LoadPoll, ServerIndex, ServerMemory, ServerRegistry, ShedOrder, Traffic, UsualTimeout,
-    WarmUp, ZoneLinks,
+    ActiveRequest, AttemptKey, Budget, EndedAttempt, FleetLatency, FleetView, InFlightAttempt, LoadPoll,
+    ServerIndex, ServerMemory, ServerRegistry, ShedOrder, Traffic, UsualTimeout, WarmUp, ZoneLinks,
 };
 use crate::{
-    Action, DiscoveryMode, EndpointUpdate, Event, Outcome, RequestId, ServerId, Settings, SettingsError,
-    Span, Time, TimerId,
+    Action, DiscoveryMode, EjectionReason, EndpointUpdate, Event, LoadReport, Outcome, RequestId, ServerId,
+    Settings, SettingsError, Span, Time, TimerId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Interval of ticks while requests are queued, and while none are.
-const BUSY_TICK: Span = Span(10_000);
-const IDLE_TICK: Span = Span(50_000);
-const TICK_TIMER: TimerId = TimerId(0);
-/// The timer that ends the wait for polled loads.
-pub(crate) const POLL_TIMER: TimerId = TimerId(1);
+const BUSY_TICK: Span = Span::from_millis(10);
+const IDLE_TICK: Span = Span::from_millis(50);
 
 /// The decisions of one client process about where, when and how often its requests are sent.
 pub struct Balancer {
@@ -114,9 +110,8 @@
             Event::ClientDisconnected { request } => {
                 self.requests.remove(&request);
             }
-            Event::TimerDue(TICK_TIMER) => self.tick(),
-            Event::TimerDue(POLL_TIMER) => self.finish_polls(),
-            Event::TimerDue(_) => {}
+            Event::TimerDue(TimerId::Tick) => self.tick(),
+            Event::TimerDue(TimerId::LoadPollTimeout) => self.finish_polls(),
             Event::Gossip { payload, .. } => self.receive_gossip(&payload),
             Event::HealthChecked { server, outcome, load_report, .. } => {
                 self.end_health_check(server, outcome, load_report);
@@ -131,7 +126,7 @@
         self.registry.view == FleetView::Sparse
     }
 
-    fn end_health_check(&mut self, server: ServerId, outcome: Outcome, load_report: Option<Vec<f64>>) {
+    fn end_health_check(&mut self, server: ServerId, outcome: Outcome, load_report: Option<LoadReport>) {
         let Some(index) = self.registry.find(server) else { return };
         match load_report {
             Some(report) => self.read_load_report(index, &report),
@@ -214,7 +209,7 @@
 
     fn set_tick(&mut self, after: Span) {
         self.next_tick = self.now + after;
-        self.actions.push(Action::SetTimer { at: self.next_tick, timer: TICK_TIMER });
+        self.actions.push(Action::SetTimer { at: self.next_tick, timer: TimerId::Tick });
     }
 }
 
--- a/crates/balancer-core/src/balancer/tests.rs
+++ b/crates/balancer-core/src/balancer/tests.rs
@@ -12,7 +12,7 @@
 
 /// Sends a request with a routing key of its own; the server that it is sent to.
 fn send_request(balancer: &mut Balancer, now: Time, id: u64) -> ServerId {
-    let mut request = Request::new(RequestId(id), ClassId(0), Span::from_ms(900.0));
+    let mut request = Request::new(RequestId(id), ClassId(0), Span::from_millis(900));
     request.routing_key = Some(RoutingKey(id));
     let mut actions = Vec::new();
     balancer.handle(now, Event::Request(request), &mut actions);
@@ -28,7 +28,7 @@
         request: RequestId(id),
         attempt: AttemptNumber(0),
         outcome: Outcome::Success,
-        elapsed: Span::from_ms(20.0),
+        elapsed: Span::from_millis(20),
         load_report: None,
         is_request_finished,
     };
@@ -52,14 +52,14 @@
 fn removed_servers_leave_no_records() {
     let settings = Settings { has_key_affinity: true, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).expect("usable settings");
-    let mut now = Time::from_ms(1000.0);
+    let mut now = Time::from_millis(1000);
     change_endpoints(&mut balancer, now, vec![endpoint(0, EndpointStatus::Serving)]);
 
     for id in 1..5000 {
-        now = now + Span::from_ms(1000.0);
+        now = now + Span::from_millis(1000);
         replace_server(&mut balancer, now, id);
         assert_eq!(send_request(&mut balancer, now, id.into()), ServerId(id));
-        succeed(&mut balancer, now + Span::from_ms(20.0), id.into(), true);
+        succeed(&mut balancer, now + Span::from_millis(20), id.into(), true);
     }
 
     let mut sizes = balancer.registry.sizes().to_vec();
@@ -77,12 +77,12 @@
 #[test]
 fn late_outcome_is_not_counted_for_a_new_server() {
     let mut balancer = Balancer::new(Settings::default(), 1).expect("usable settings");
-    let mut now = Time::from_ms(1000.0);
+    let mut now = Time::from_millis(1000);
     change_endpoints(&mut balancer, now, vec![endpoint(0, EndpointStatus::Serving)]);
     assert_eq!(send_request(&mut balancer, now, 7), ServerId(0));
     change_endpoints(&mut balancer, now, vec![endpoint(0, EndpointStatus::Removed)]);
     for id in 1..30 {
-        now = now + Span::from_ms(5000.0);
+        now = now + Span::from_millis(5000);
         replace_server(&mut balancer, now, id);
     }
     assert!(balancer.registry.find(ServerId(0)).is_some(), "an attempt is in flight");
--- a/crates/balancer-core/src/event.rs
+++ b/crates/balancer-core/src/event.rs
@@ -2,6 +2,7 @@
 
 use crate::endpoint::EndpointUpdate;
 use crate::ids::{AttemptNumber, ClassId, PeerId, RequestId, RoutingKey, ServerId, TenantId, TimerId};
+use crate::notice::Notice;
 use crate::time::{Span, Time};
 
 /// A request that a client has handed over.
@@ -66,9 +67,25 @@
     }
 }
 
-/// A server's load report: values as [`Settings::load_report_fields`](crate::Settings::load_report_fields)
-/// orders them.
-pub type LoadReport = [f64];
+/// A server's load report.
+#[derive(Debug, Clone, PartialEq)]
+pub struct LoadReport {
+    values: Vec<f64>,
+}
+
+impl LoadReport {
+    /// A report of these values, in the order of
+    /// [`Settings::load_report_fields`](crate::Settings::load_report_fields). A value that is missing or not
+    /// plausible is ignored by the balancer.
+    pub fn new(values: Vec<f64>) -> Self {
+        LoadReport { values }
+    }
+
+    /// The values, in the order of [`Settings::load_report_fields`](crate::Settings::load_report_fields).
+    pub fn values(&self) -> &[f64] {
+        &self.values
+    }
+}
 
 /// An input of the balancer.
 #[derive(Debug, Clone, PartialEq)]
@@ -93,7 +110,7 @@
         /// The time since it was sent.
         elapsed: Span,
         /// The server's load report, if one came.
-        load_report: Option<Vec<f64>>,
+        load_report: Option<LoadReport>,
         /// The request has its final answer; otherwise one is still owed.
         is_request_finished: bool,
     },
@@ -113,7 +130,7 @@
         /// The time since it was sent.
         elapsed: Span,
         /// The server's load report, if one came.
-        load_report: Option<Vec<f64>>,
+        load_report: Option<LoadReport>,
     },
     /// News of the endpoint list.
     Endpoints(EndpointUpdate),
@@ -185,9 +202,6 @@
     },
     /// Open a watch of the endpoint list, in place of the one there may be.
     WatchEndpoints,
-    /// A message for the operators.
-    Log {
-        /// The text.
-        text: String,
-    },
+    /// Tell the operators.
+    Notify(Notice),
 }
--- a/crates/balancer-core/src/ids.rs
+++ b/crates/balancer-core/src/ids.rs
@@ -27,8 +27,33 @@
     RoutingKey(u64),
     /// An attempt of a request: 0 for its first send, 1 for its second and so on.
     AttemptNumber(u32),
-    /// A timer; chosen by the balancer and returned when the timer is due.
-    TimerId(u64),
     /// Another balancer of the same service.
     PeerId(u32),
 }
+
+/// A timer of the balancer: what it asks to be woken for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum TimerId {
+    /// The periodic tick, which handles overdue attempts and queued requests.
+    Tick,
+    /// The end of the wait for polled loads.
+    LoadPollTimeout,
+}
+
+impl TimerId {
+    /// All timers, in the order of their numbers.
+    const ALL: [TimerId; 2] = [TimerId::Tick, TimerId::LoadPollTimeout];
+
+    /// The number of the timer, for callers whose timers are numbered.
+    pub fn number(self) -> u64 {
+        match self {
+            TimerId::Tick => 0,
+            TimerId::LoadPollTimeout => 1,
+        }
+    }
+
+    /// The timer with this number; `None` if there is no such timer.
+    pub fn from_number(number: u64) -> Option<Self> {
+        TimerId::ALL.into_iter().find(|timer| timer.number() == number)
+    }
+}
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -8,8 +8,8 @@
 //! use balancer_core::*;
 //!
 //! let class = RequestClass {
-//!     latency_objective: Span::from_ms(100.0),
-//!     deadline: Span::from_ms(400.0),
+//!     latency_objective: Span::from_millis(100),
+//!     deadline: Span::from_millis(400),
 //!     ..RequestClass::default()
 //! };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
@@ -17,12 +17,12 @@
 //! let mut actions = Vec::new();
 //!
 //! // The caller learns which servers there are,
-//! let now = Time::from_ms(1000.0);
+//! let now = Time::from_millis(1000);
 //! let endpoints = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
 //! balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(endpoints)), &mut actions);
 //!
 //! // and hands over a request: the balancer says where to send it.
-//! let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(400.0));
+//! let request = Request::new(RequestId(1), ClassId(0), Span::from_millis(400));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: RequestId(1), .. })));
 //! ```
@@ -31,10 +31,12 @@
 mod endpoint;
 mod event;
 mod ids;
+mod notice;
 mod policy;
 mod settings;
 mod state;
 mod time;
+mod units;
 
 pub use balancer::Balancer;
 pub use endpoint::{Endpoint, EndpointStatus, EndpointUpdate};
@@ -43,8 +45,10 @@
     AttemptNumber, CellId, ClassId, MachineKindId, PeerId, RequestId, RoutingKey, ServerId, TenantId,
     TimerId, ZoneId,
 };
+pub use notice::{EjectionReason, Notice};
 pub use settings::{
     Costs, DedupScope, DiscoveryMode, Effect, EndpointWeights, GoalWeights, LoadReportField,
     LoadReportSource, RequestClass, Settings, SettingsError, Tenant, ValueBasis,
 };
 pub use time::{Span, Time};
+pub use units::LatencyRatio;
--- a/crates/balancer-core/src/policy/concurrency.rs
+++ b/crates/balancer-core/src/policy/concurrency.rs
@@ -49,13 +49,13 @@
 
     /// Notes when an answer came and how long it took.
     pub fn complete(&mut self, now: Time, latency: Span) {
-        (self.last_completion, self.last_latency_ms) = (now, latency.as_ms());
+        (self.last_completion, self.last_latency_ms) = (now, latency.as_millis_f64());
     }
 
     /// Backs off from a full server, or what it rejects would go round the whole fleet at once.
     pub fn back_off(&mut self, now: Time, objective: Span, typical_ratio: f64) {
-        self.last_latency_ms = objective.as_ms();
-        self.backoff_until = now + Span::from_ms(objective.as_ms() * typical_ratio);
+        self.last_latency_ms = objective.as_millis_f64();
+        self.backoff_until = now + Span::from_millis_f64(objective.as_millis_f64() * typical_ratio);
     }
 
     /// Whether the server was full just now.
@@ -69,7 +69,8 @@
     pub fn has_capacity(&self, now: Time, in_flight: u32, admission: f64, capacity_share: f64) -> bool {
         let limit = self.limit * admission;
         let pause_ms = self.last_latency_ms * (1.0 / limit - 1.0).max(0.0);
-        let has_paused = now.since(self.last_completion).as_ms() >= pause_ms && !self.is_backing_off(now);
+        let has_paused =
+            now.since(self.last_completion).as_millis_f64() >= pause_ms && !self.is_backing_off(now);
         has_paused && f64::from(in_flight) + 1.0 <= (limit * capacity_share).max(1.0)
     }
 }
--- a/crates/balancer-core/src/policy/concurrency/tests.rs
+++ b/crates/balancer-core/src/policy/concurrency/tests.rs
@@ -51,8 +51,8 @@
         limit.complete(NOW, OBJECTIVE);
 
         // A limit below one is kept by a pause after each answer.
-        let pause_ms = OBJECTIVE.as_ms() * (1.0 / min_limit - 1.0);
-        let has_capacity_after = |ms| limit.has_capacity(NOW + Span::from_ms(ms), 0, 1.0, 1.0);
+        let pause_ms = OBJECTIVE.as_millis_f64() * (1.0 / min_limit - 1.0);
+        let has_capacity_after = |ms| limit.has_capacity(NOW + Span::from_millis_f64(ms), 0, 1.0, 1.0);
         assert!(!has_capacity_after(pause_ms - 1.0), "minimum {min_limit}");
         assert!(has_capacity_after(pause_ms + 1.0), "minimum {min_limit}");
     }
@@ -98,7 +98,7 @@
 
     limit.back_off(NOW, OBJECTIVE, 0.5);
 
-    let backoff_end = NOW + Span::from_ms(50.0);
+    let backoff_end = NOW + Span::from_millis(50);
     assert!(limit.is_backing_off(backoff_end - Span(1)));
     assert!(!limit.has_capacity(backoff_end - Span(1), 0, 1.0, 1.0));
     assert!(!limit.is_backing_off(backoff_end));
--- a/crates/balancer-core/src/policy/feedback.rs
+++ b/crates/balancer-core/src/policy/feedback.rs
@@ -45,7 +45,7 @@
         let has_responded = server.health.last_response > attempt.sent_at;
         let is_lost = has_responded && server.latency.ratio < TARGET_RATIO;
         match ended.outcome {
-            Outcome::Success => (ended.elapsed.as_ms() / objective.as_ms()).min(LATE_RATIO),
+            Outcome::Success => (ended.elapsed.as_millis_f64() / objective.as_millis_f64()).min(LATE_RATIO),
             Outcome::TimedOut | Outcome::Cancelled if is_lost => NO_LOAD,
             Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE_RATIO,
             _ => NO_LOAD,
--- a/crates/balancer-core/src/policy/load_polling.rs
+++ b/crates/balancer-core/src/policy/load_polling.rs
@@ -1,9 +1,8 @@
 //! Load reports, and polling candidates for their load before one is chosen.
 
 use super::routing::MAX_CANDIDATES;
-use crate::balancer::POLL_TIMER;
 use crate::state::{update_recent_average, LoadPoll, ReportedLoad, ServerIndex};
-use crate::{Action, Balancer, LoadReport, LoadReportField, LoadReportSource, RequestId};
+use crate::{Action, Balancer, LoadReport, LoadReportField, LoadReportSource, RequestId, TimerId};
 
 /// Candidates are polled where that costs a request this much at most, for this share of its objective.
 const MAX_POLL_COST: f64 = 0.01;
@@ -17,7 +16,7 @@
         let fields = &self.settings.load_report_fields;
         let position = |field| fields.iter().position(|known| *known == field);
         let position = position(LoadReportField::InFlight).or(position(LoadReportField::QueueLength));
-        let load = position.and_then(|position| report.get(position));
+        let load = position.and_then(|position| report.values().get(position));
         let Some(&load) = load.filter(|load| (0.0..MAX_LOAD).contains(*load)) else { return };
         self.registry[server].reported_load = ReportedLoad::new(load, self.now);
         update_recent_average(&mut self.mean_reported_load, load);
@@ -46,7 +45,7 @@
             let server = self.registry[candidate].endpoint.server;
             self.actions.push(Action::CheckHealth { server });
         }
-        self.actions.push(Action::SetTimer { at: answer_by, timer: POLL_TIMER });
+        self.actions.push(Action::SetTimer { at: answer_by, timer: TimerId::LoadPollTimeout });
         self.load_polls.push(LoadPoll { request, candidates, started_at: self.now, answer_by });
     }
 
--- a/crates/balancer-core/src/policy/outlier.rs
+++ b/crates/balancer-core/src/policy/outlier.rs
@@ -2,8 +2,8 @@
 
 use super::concurrency::{LATE_RATIO, TARGET_RATIO};
 use super::Ejection;
-use crate::state::{EjectionReason, ServerIndex, ServerLatency};
-use crate::{Action, Balancer, Outcome};
+use crate::state::{ServerIndex, ServerLatency};
+use crate::{Action, Balancer, EjectionReason, LatencyRatio, Notice, Outcome};
 
 /// A server is slow at this multiple of the fleet's median latency; under it, counts alone shift the load.
 pub const OUTLIER_FACTOR: f64 = 3.0;
@@ -57,10 +57,12 @@
         }
         server.health.ejection = Some(Ejection::new(self.now));
         self.memory.forget(index);
-        let (id, ratio, median) = (server.endpoint.server.0, server.latency.ratio, self.latency.median_ratio);
-        let text = format!(
-            "server {id} ejected ({reason}): latency ratio {ratio:.2} of a fleet median of {median:.2}"
-        );
-        self.actions.push(Action::Log { text });
+        let notice = Notice::ServerEjected {
+            server: server.endpoint.server,
+            reason,
+            latency_ratio: LatencyRatio::new(server.latency.ratio),
+            fleet_median: LatencyRatio::new(self.latency.median_ratio),
+        };
+        self.actions.push(Action::Notify(notice));
     }
 }
--- a/crates/balancer-core/src/policy/overdue.rs
+++ b/crates/balancer-core/src/policy/overdue.rs
@@ -2,8 +2,8 @@
 
 use super::admission::SLOW_RATIO;
 use super::concurrency::{LATE_RATIO, TARGET_RATIO};
-use crate::state::{AttemptKey, EjectionReason, InFlightAttempt, ServerIndex};
-use crate::{Action, Balancer, Effect};
+use crate::state::{AttemptKey, InFlightAttempt, ServerIndex};
+use crate::{Action, Balancer, Effect, EjectionReason};
 
 /// An attempt is overdue at this multiple of the usual latency of its class, and not before this share of its
 /// objective; alone on its server, where it may well be a costly request, not before the whole objective.
@@ -45,7 +45,7 @@
         let min_share = if server.in_flight > 1 { MIN_OVERDUE_SHARE } else { MIN_OVERDUE_SHARE_ALONE };
         let work = self.requests.get(&key.request).map_or(0.0, |active| self.estimated_work(active));
         let typical_ratio = self.latency.classes[attempt.class].typical_ratio;
-        let usual_ratio = typical_ratio.max(self.latency.median_ratio).max(work / objective.as_ms());
+        let usual_ratio = typical_ratio.max(self.latency.median_ratio).max(work / objective.as_millis_f64());
         let max_time = objective * (OVERDUE_FACTOR * usual_ratio).max(min_share);
         let is_overdue = self.now.since(attempt.sent_at) > max_time;
         let is_server_silent = server.health.last_response < attempt.sent_at;
--- a/crates/balancer-core/src/policy/retry/tests.rs
+++ b/crates/balancer-core/src/policy/retry/tests.rs
@@ -21,7 +21,7 @@
     let server = registry.find(ServerId(1)).expect("it is listed");
     let attempt = |&state| Attempt { server, zone: ZONE, cell: CELL, sent_at: NOW, state };
     ActiveRequest {
-        request: Request::new(RequestId(1), ClassId(0), Span::from_ms(1000.0)),
+        request: Request::new(RequestId(1), ClassId(0), Span::from_millis(1000)),
         deadline: DEADLINE,
         objective_deadline: DEADLINE,
         attempts: states.iter().map(attempt).collect(),
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_deduplicated_retry_stays_in_scope_and_window() {
-    let window = Span::from_ms(400.0);
+    let window = Span::from_millis(400);
     let active = active_request(&[AttemptState::MayHaveRun]);
     for (scope, expected) in [
         (DedupScope::Fleet, RetryScope::Anywhere),
--- a/crates/balancer-core/src/policy/routing.rs
+++ b/crates/balancer-core/src/policy/routing.rs
@@ -77,7 +77,7 @@
     /// A guess at a request's work in milliseconds: its hint, else the usual latency of its class.
     pub(crate) fn estimated_work(&self, active: &ActiveRequest) -> f64 {
         let usual_work = || self.latency.typical_latency_ms(&self.settings, active.class());
-        active.request.cost_hint.map_or_else(usual_work, Span::as_ms)
+        active.request.cost_hint.map_or_else(usual_work, Span::as_millis_f64)
     }
 
     /// Fresh uniform draws from the servers that are open to the request, and the remembered ones that are.
--- a/crates/balancer-core/src/policy/slow_start.rs
+++ b/crates/balancer-core/src/policy/slow_start.rs
@@ -18,7 +18,7 @@
 
     /// Takes in that a server is sent work.
     pub(crate) fn record_work(&mut self, index: ServerIndex, work: f64) {
-        let decay_ms = WORK_WINDOW_PART * self.settings.overload_window.as_ms();
+        let decay_ms = WORK_WINDOW_PART * self.settings.overload_window.as_millis_f64();
         if self.capacity_share(&self.registry[index]) < 1.0 {
             self.registry[index].warm_up_work.add(self.now, decay_ms, work);
         } else {
--- a/crates/balancer-core/src/policy/tests.rs
+++ b/crates/balancer-core/src/policy/tests.rs
@@ -1,9 +1,9 @@
 //! Bounds of rules that long plays hardly ever reach.
 
-use crate::state::{EjectionReason, ServerIndex};
+use crate::state::ServerIndex;
 use crate::{
-    Balancer, Endpoint, EndpointUpdate, Event, LoadReportField, Outcome, ServerId, Settings, Span, Time,
-    ZoneId,
+    Balancer, EjectionReason, Endpoint, EndpointUpdate, Event, LoadReport, LoadReportField, Outcome,
+    ServerId, Settings, Span, Time, ZoneId,
 };
 
 const START: Time = Time(1_000_000);
@@ -30,9 +30,9 @@
 
     balancer.record_connect_failure(ZoneId(0));
 
-    balancer.now = START + Span::from_ms(4999.0);
+    balancer.now = START + Span::from_millis(4999);
     assert!(balancer.is_suspected(server));
-    balancer.now = START + Span::from_ms(5000.0);
+    balancer.now = START + Span::from_millis(5000);
     assert!(!balancer.is_suspected(server));
 }
 
@@ -42,8 +42,8 @@
     let mut balancer = balancer_with_server(Settings { load_report_fields, ..Settings::default() });
     let server = index_of_server(&balancer);
 
-    balancer.read_load_report(server, &[9999.0]);
-    balancer.read_load_report(server, &[10_000.0]);
+    balancer.read_load_report(server, &LoadReport::new(vec![9999.0]));
+    balancer.read_load_report(server, &LoadReport::new(vec![10_000.0]));
 
     assert_eq!(balancer.registry[server].reported_load.known(), 9999.0);
 }
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -55,9 +55,9 @@
     fn default() -> Self {
         RequestClass {
             effect: Effect::Idempotent,
-            latency_objective: Span::from_ms(500.0),
+            latency_objective: Span::from_millis(500),
             objective_stretch: 0.0,
-            deadline: Span::from_ms(1000.0),
+            deadline: Span::from_millis(1000),
             priority_weight: 1.0,
             late_value: 0.0,
             is_streaming: false,
@@ -247,7 +247,7 @@
             goal: GoalWeights::default(),
             costs: Costs::default(),
             discovery_mode: DiscoveryMode::Pushed,
-            max_poll_interval: Span::from_ms(10_000.0),
+            max_poll_interval: Span::from_millis(10_000),
             load_report_source: LoadReportSource::None,
             load_report_fields: Vec::new(),
             endpoint_weights: EndpointWeights::Unspecified,
@@ -258,14 +258,14 @@
             allows_health_checks: false,
             allows_gossip: false,
             sends_retry_after: false,
-            max_retry_after: Span::from_ms(1000.0),
-            drain_grace: Span::from_ms(1000.0),
+            max_retry_after: Span::from_millis(1000),
+            drain_grace: Span::from_millis(1000),
             initial_capacity: 0.1,
-            warm_up_time: Span::from_ms(20_000.0),
+            warm_up_time: Span::from_millis(20_000),
             overload_factor: 2.0,
-            overload_window: Span::from_ms(1000.0),
+            overload_window: Span::from_millis(1000),
             connect_timeout: Span::ZERO,
-            event_interval: Span::from_ms(1.0),
+            event_interval: Span::from_millis(1),
         }
     }
 }
--- a/crates/balancer-core/src/state.rs
+++ b/crates/balancer-core/src/state.rs
@@ -22,7 +22,7 @@
 pub use memory::ServerMemory;
 pub use registry::{FleetView, ServerIndex, ServerRegistry};
 pub use request::{ActiveRequest, Attempt, AttemptKey, AttemptState, EndedAttempt, InFlightAttempt};
-pub use server::{EjectionReason, ServerState};
+pub use server::ServerState;
 pub use smoothing::update_recent_average;
 pub use timeout::UsualTimeout;
 pub use traffic::{ShedOrder, Traffic};
--- a/crates/balancer-core/src/state/latency.rs
+++ b/crates/balancer-core/src/state/latency.rs
@@ -86,7 +86,7 @@
 
     /// The usual latency of a class in milliseconds.
     pub fn typical_latency_ms(&self, settings: &Settings, class: usize) -> f64 {
-        let objective_ms = settings.classes[class].latency_objective.as_ms();
+        let objective_ms = settings.classes[class].latency_objective.as_millis_f64();
         (self.classes[class].typical_ratio * objective_ms).max(MIN_LATENCY_MS)
     }
 
--- a/crates/balancer-core/src/state/latency/tests.rs
+++ b/crates/balancer-core/src/state/latency/tests.rs
@@ -109,7 +109,7 @@
 
 #[test]
 fn typical_latency_is_a_share_of_the_objective() {
-    let class = RequestClass { latency_objective: Span::from_ms(200.0), ..RequestClass::default() };
+    let class = RequestClass { latency_objective: Span::from_millis(200), ..RequestClass::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
 
     assert_close(FleetLatency::new(1).typical_latency_ms(&settings, 0), 40.0);
--- a/crates/balancer-core/src/state/load_report.rs
+++ b/crates/balancer-core/src/state/load_report.rs
@@ -34,7 +34,7 @@
     /// The load to expect now: a report loses its weight over `decay_ms` milliseconds, and what is not known
     /// is as in `mean_load`.
     pub fn expected(&self, now: Time, decay_ms: f64, mean_load: f64) -> f64 {
-        let weight = self.reported_at.map_or(0.0, |at| (-now.since(at).as_ms() / decay_ms).exp());
+        let weight = self.reported_at.map_or(0.0, |at| (-now.since(at).as_millis_f64() / decay_ms).exp());
         weight * (self.load + f64::from(self.sends_since)) + (1.0 - weight) * mean_load
     }
 }
--- a/crates/balancer-core/src/state/registry/tests.rs
+++ b/crates/balancer-core/src/state/registry/tests.rs
@@ -50,7 +50,7 @@
 #[test]
 fn removal_counts_from_when_it_was_first_seen_until_the_server_is_back() {
     let mut registry = registry_with(&[SERVER]);
-    let later = NOW + Span::from_ms(500.0);
+    let later = NOW + Span::from_millis(500);
 
     registry.update(NOW, Vec::new(), true);
     registry.update(later, Vec::new(), true);
@@ -82,7 +82,7 @@
     let mut registry = registry_with(&[SERVER]);
     let index = index_of(&registry, SERVER);
     registry.update(NOW, Vec::new(), true);
-    let retained_until = NOW + Span::from_ms(10_000.0);
+    let retained_until = NOW + Span::from_millis(10_000);
 
     assert_eq!(registry.removed_long_ago(retained_until - Span(1)), []);
     assert_eq!(registry.removed_long_ago(retained_until), [index]);
--- a/crates/balancer-core/src/state/request.rs
+++ b/crates/balancer-core/src/state/request.rs
@@ -1,7 +1,7 @@
 //! Records of accepted requests and of their attempts. Nothing is decided here.
 
 use super::registry::ServerIndex;
-use crate::{AttemptNumber, CellId, Outcome, Request, RequestId, Span, Time, ZoneId};
+use crate::{AttemptNumber, CellId, LoadReport, Outcome, Request, RequestId, Span, Time, ZoneId};
 
 /// What is known of an attempt's effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -73,6 +73,6 @@
     pub key: AttemptKey,
     pub outcome: Outcome,
     pub elapsed: Span,
-    pub load_report: Option<Vec<f64>>,
+    pub load_report: Option<LoadReport>,
     pub is_request_finished: bool,
 }
--- a/crates/balancer-core/src/state/server.rs
+++ b/crates/balancer-core/src/state/server.rs
@@ -5,7 +5,6 @@
 use super::smoothing::DecayingSum;
 use crate::policy::{ConcurrencyLimit, Ejection};
 use crate::{Endpoint, Outcome, Time};
-use std::fmt;
 
 /// The state of one server, as this balancer sees it.
 pub struct ServerState {
@@ -84,23 +83,3 @@
         }
     }
 }
-
-/// Why a server is ejected.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EjectionReason {
-    Slow,
-    Failing,
-    Silent,
-    FailedHealthCheck,
-}
-
-impl fmt::Display for EjectionReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            EjectionReason::Slow => "slow",
-            EjectionReason::Failing => "failing",
-            EjectionReason::Silent => "silent",
-            EjectionReason::FailedHealthCheck => "failed health check",
-        })
-    }
-}
--- a/crates/balancer-core/src/state/smoothing.rs
+++ b/crates/balancer-core/src/state/smoothing.rs
@@ -31,7 +31,7 @@
 impl DecayingSum {
     /// What is left of the sum at `now`.
     pub fn value_at(&self, now: Time) -> f64 {
-        self.sum * (-now.since(self.updated_at).as_ms() / self.decay_ms.max(1.0)).exp()
+        self.sum * (-now.since(self.updated_at).as_millis_f64() / self.decay_ms.max(1.0)).exp()
     }
 
     /// Adds `part`; from now on the sum decays over `decay_ms` milliseconds.
--- a/crates/balancer-core/src/state/smoothing/tests.rs
+++ b/crates/balancer-core/src/state/smoothing/tests.rs
@@ -28,27 +28,27 @@
 
 #[test]
 fn decaying_sum_begins_at_zero() {
-    assert_eq!(DecayingSum::default().value_at(Time::from_ms(5.0)), 0.0);
+    assert_eq!(DecayingSum::default().value_at(Time::from_millis(5)), 0.0);
 }
 
 #[test]
 fn decaying_sum_keeps_one_part_in_e_after_its_decay_time() {
     let mut sum = DecayingSum::default();
 
-    sum.add(Time::from_ms(1000.0), 100.0, 3.0);
+    sum.add(Time::from_millis(1000), 100.0, 3.0);
 
-    assert_close(sum.value_at(Time::from_ms(1000.0)), 3.0);
-    assert_close(sum.value_at(Time::from_ms(1100.0)), 3.0 / std::f64::consts::E);
+    assert_close(sum.value_at(Time::from_millis(1000)), 3.0);
+    assert_close(sum.value_at(Time::from_millis(1100)), 3.0 / std::f64::consts::E);
 }
 
 #[test]
 fn part_is_added_to_what_is_left_of_the_sum() {
     let mut sum = DecayingSum::default();
-    sum.add(Time::from_ms(1000.0), 100.0, 3.0);
+    sum.add(Time::from_millis(1000), 100.0, 3.0);
 
-    sum.add(Time::from_ms(1100.0), 100.0, 2.0);
+    sum.add(Time::from_millis(1100), 100.0, 2.0);
 
-    assert_close(sum.value_at(Time::from_ms(1100.0)), 2.0 + 3.0 / std::f64::consts::E);
+    assert_close(sum.value_at(Time::from_millis(1100)), 2.0 + 3.0 / std::f64::consts::E);
 }
 
 #[test]
--- a/crates/balancer-core/src/state/traffic.rs
+++ b/crates/balancer-core/src/state/traffic.rs
@@ -28,7 +28,7 @@
 
     /// Counts a request.
     pub fn count(&mut self, now: Time, request: &Request) {
-        let decay = (-now.since(self.counted_at).as_ms() / WINDOW_MS).exp();
+        let decay = (-now.since(self.counted_at).as_millis_f64() / WINDOW_MS).exp();
         self.counted_at = now;
         self.by_class.iter_mut().chain(&mut self.by_tenant).for_each(|count| *count *= decay);
         self.by_class[request.class.0] += 1.0;
--- a/crates/balancer-core/src/state/warm_up.rs
+++ b/crates/balancer-core/src/state/warm_up.rs
@@ -25,7 +25,8 @@
     /// warming up takes at the longest (WIRE page, section 5, `coldShare` and `warmAfterMs`).
     pub fn capacity_share(settings: &Settings, endpoint: &Endpoint, now: Time) -> f64 {
         let Some(started_at) = endpoint.started_at else { return 1.0 };
-        let (age_ms, warm_up_ms) = (now.since(started_at).as_ms(), settings.warm_up_time.as_ms());
+        let (age_ms, warm_up_ms) =
+            (now.since(started_at).as_millis_f64(), settings.warm_up_time.as_millis_f64());
         if age_ms >= warm_up_ms {
             return 1.0;
         }
--- a/crates/balancer-core/src/state/warm_up/tests.rs
+++ b/crates/balancer-core/src/state/warm_up/tests.rs
@@ -6,10 +6,10 @@
 const STARTED_AT: Time = Time(1_000_000);
 
 fn capacity_share_at(age_ms: f64, initial_capacity: f64) -> f64 {
-    let warm_up_time = Span::from_ms(1000.0);
+    let warm_up_time = Span::from_millis(1000);
     let settings = Settings { initial_capacity, warm_up_time, ..Settings::default() };
     let endpoint = Endpoint { started_at: Some(STARTED_AT), ..Endpoint::serving(ServerId(0)) };
-    WarmUp::capacity_share(&settings, &endpoint, STARTED_AT + Span::from_ms(age_ms))
+    WarmUp::capacity_share(&settings, &endpoint, STARTED_AT + Span::from_millis_f64(age_ms))
 }
 
 fn assert_close(value: f64, expected: f64) {
@@ -44,7 +44,7 @@
     warm_up.record_warm_work(STARTED_AT, 100.0, 2.0);
 
     assert_close(warm_up.work_per_warm_server(STARTED_AT), 0.5);
-    let later = STARTED_AT + Span::from_ms(100.0);
+    let later = STARTED_AT + Span::from_millis(100);
     assert_close(warm_up.work_per_warm_server(later), 0.5 / std::f64::consts::E);
 }
 
--- a/crates/balancer-core/src/time.rs
+++ b/crates/balancer-core/src/time.rs
@@ -2,6 +2,9 @@
 
 use std::ops::{Add, Mul, Sub};
 
+const MICROS_PER_MILLI: u64 = 1_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
 /// A moment on the caller's clock, in microseconds since any epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
@@ -11,17 +14,35 @@
 pub struct Span(pub u64);
 
 impl Time {
-    /// The moment `ms` milliseconds after the epoch; a negative value or NaN gives the epoch itself.
-    pub fn from_ms(ms: f64) -> Self {
-        Time(Span::from_ms(ms).0)
+    /// The epoch itself.
+    pub const EPOCH: Time = Time(0);
+
+    /// The moment `micros` microseconds after the epoch.
+    pub const fn from_micros(micros: u64) -> Self {
+        Time(micros)
+    }
+
+    /// The moment `millis` milliseconds after the epoch.
+    pub const fn from_millis(millis: u64) -> Self {
+        Time(Span::from_millis(millis).0)
+    }
+
+    /// The moment `millis` milliseconds after the epoch; a negative value or NaN gives the epoch itself.
+    pub fn from_millis_f64(millis: f64) -> Self {
+        Time(Span::from_millis_f64(millis).0)
+    }
+
+    /// Microseconds since the epoch.
+    pub const fn as_micros(self) -> u64 {
+        self.0
     }
 
     /// Milliseconds since the epoch.
-    pub fn as_ms(self) -> f64 {
-        self.0 as f64 / 1e3
+    pub fn as_millis_f64(self) -> f64 {
+        Span(self.0).as_millis_f64()
     }
 
-    /// The time that has passed since `earlier`; zero if that lies ahead.
+    /// The time that has passed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -31,14 +52,34 @@
     /// No time at all.
     pub const ZERO: Span = Span(0);
 
-    /// `ms` milliseconds; a negative value or NaN gives zero.
-    pub fn from_ms(ms: f64) -> Self {
-        Span((ms * 1e3).round() as u64)
+    /// `micros` microseconds.
+    pub const fn from_micros(micros: u64) -> Self {
+        Span(micros)
+    }
+
+    /// `millis` milliseconds.
+    pub const fn from_millis(millis: u64) -> Self {
+        Span(millis * MICROS_PER_MILLI)
+    }
+
+    /// `seconds` seconds.
+    pub const fn from_secs(seconds: u64) -> Self {
+        Span(seconds * MICROS_PER_SECOND)
+    }
+
+    /// `millis` milliseconds, rounded to whole microseconds; a negative value or NaN gives zero.
+    pub fn from_millis_f64(millis: f64) -> Self {
+        Span((millis * MICROS_PER_MILLI as f64).round() as u64)
+    }
+
+    /// The length in microseconds.
+    pub const fn as_micros(self) -> u64 {
+        self.0
     }
 
     /// The length in milliseconds.
-    pub fn as_ms(self) -> f64 {
-        self.0 as f64 / 1e3
+    pub fn as_millis_f64(self) -> f64 {
+        self.0 as f64 / MICROS_PER_MILLI as f64
     }
 
     /// This length minus `other`, never below zero.
--- a/crates/balancer-core/tests/common/fixtures.rs
+++ b/crates/balancer-core/tests/common/fixtures.rs
@@ -16,8 +16,8 @@
 pub fn class(effect: Effect) -> RequestClass {
     RequestClass {
         effect,
-        latency_objective: Span::from_ms(200.0),
-        deadline: Span::from_ms(800.0),
+        latency_objective: Span::from_millis(200),
+        deadline: Span::from_millis(800),
         ..RequestClass::default()
     }
 }
@@ -29,5 +29,5 @@
 
 /// The effect of requests that servers within `scope` deduplicate.
 pub fn deduplicated(scope: DedupScope, window_ms: f64) -> Effect {
-    Effect::Deduplicated { scope, window: Span::from_ms(window_ms) }
+    Effect::Deduplicated { scope, window: Span::from_millis_f64(window_ms) }
 }
--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -3,8 +3,8 @@
 use super::actions::find_target;
 use super::rule_checker::RuleChecker;
 use balancer_core::{
-    Action, AttemptNumber, Balancer, ClassId, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId,
-    ServerId, Settings, Span, Time, TimerId,
+    Action, AttemptNumber, Balancer, ClassId, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, Request,
+    RequestId, ServerId, Settings, Span, Time, TimerId,
 };
 use std::collections::BTreeSet;
 
@@ -60,7 +60,7 @@
         let mut harness = Harness {
             balancer: Balancer::new(settings.clone(), seed).expect("usable settings"),
             rule_checker: RuleChecker::new(&settings),
-            now: Time::from_ms(50_000.0),
+            now: Time::from_millis(50_000),
             actions: Vec::new(),
             settings,
             timers: BTreeSet::new(),
@@ -113,7 +113,7 @@
 
     /// Advances the clock by milliseconds.
     pub fn advance_ms(&mut self, ms: f64) -> Vec<Action> {
-        self.advance(Span::from_ms(ms))
+        self.advance(Span::from_millis_f64(ms))
     }
 
     /// Replaces the endpoint list.
@@ -197,13 +197,13 @@
         request: RequestId,
         attempt: u32,
         response: Response,
-        load_report: Option<Vec<f64>>,
+        load_report: Option<LoadReport>,
     ) -> &[Action] {
         self.handle(Event::AttemptEnded {
             request,
             attempt: AttemptNumber(attempt),
             outcome: response.outcome,
-            elapsed: Span::from_ms(response.elapsed_ms),
+            elapsed: Span::from_millis_f64(response.elapsed_ms),
             load_report,
             is_request_finished: response.outcome == Outcome::Success,
         })
--- a/crates/balancer-core/tests/common/observed_request.rs
+++ b/crates/balancer-core/tests/common/observed_request.rs
@@ -44,7 +44,7 @@
     pub fn new(now: Time, request: &Request) -> Self {
         ObservedRequest {
             class: request.class.0,
-            work: request.cost_hint.map_or(1.0, |hint| hint.as_ms() / USUAL_COST_MS),
+            work: request.cost_hint.map_or(1.0, |hint| hint.as_millis_f64() / USUAL_COST_MS),
             deadline: now + request.time_left,
             attempts: Vec::new(),
             is_finished: false,
--- a/crates/balancer-core/tests/common/slow_start_checker.rs
+++ b/crates/balancer-core/tests/common/slow_start_checker.rs
@@ -74,8 +74,8 @@
     /// The share of its capacity that a server surely has.
     fn capacity_share(&self, now: Time, endpoint: &Endpoint) -> f64 {
         let Some(started_at) = endpoint.started_at else { return 1.0 };
-        let warm_up_ms = self.settings.warm_up_time.as_ms();
-        let progress = (now.since(started_at).as_ms() / warm_up_ms).min(1.0);
+        let warm_up_ms = self.settings.warm_up_time.as_millis_f64();
+        let progress = (now.since(started_at).as_millis_f64() / warm_up_ms).min(1.0);
         let initial = self.settings.initial_capacity;
         initial + (1.0 - initial) * progress
     }
--- a/crates/balancer-core/tests/final_answers.rs
+++ b/crates/balancer-core/tests/final_answers.rs
@@ -80,7 +80,7 @@
             server: ServerId(99),
             outcome: Outcome::Success,
             elapsed: Span::ZERO,
-            load_report: Some(vec![1.0]),
+            load_report: Some(LoadReport::new(vec![1.0])),
         };
         assert!(harness.handle(check_of_unknown_server).is_empty());
     }
@@ -128,7 +128,7 @@
 
     let mut actions = Vec::new();
     for _ in 0..200 {
-        harness.now = harness.now + Span::from_ms(5.0);
+        harness.now = harness.now + Span::from_millis(5);
         harness.send_request(IDEMPOTENT);
         actions.extend(harness.advance(Span::ZERO));
     }
--- a/crates/balancer-core/tests/invalid_input.rs
+++ b/crates/balancer-core/tests/invalid_input.rs
@@ -19,7 +19,12 @@
         requests_by_server[server.0 as usize] += 1;
         harness.advance_ms(20.0);
         let report = if server.0 == 0 { report_of_first.to_vec() } else { vec![0.0] };
-        harness.end_attempt_with_report(request.id, 0, Response::success(20.0), Some(report));
+        harness.end_attempt_with_report(
+            request.id,
+            0,
+            Response::success(20.0),
+            Some(LoadReport::new(report)),
+        );
         harness.advance_ms(10.0);
     }
     harness.assert_no_violations();
@@ -42,7 +47,7 @@
     let mut harness = Harness::with_endpoints(settings(), 3, fleet(4, 1, 1));
     let in_flight: Vec<SubmittedRequest> = (0..6).map(|_| harness.send_request(0)).collect();
 
-    harness.now = harness.now + Span::from_ms(3_600_000.0);
+    harness.now = harness.now + Span::from_millis(3_600_000);
     for request in in_flight {
         harness.end_attempt(request.id, 0, Outcome::TimedOut, 800.0);
     }
--- a/crates/balancer-core/tests/load_polling.rs
+++ b/crates/balancer-core/tests/load_polling.rs
@@ -31,8 +31,8 @@
     let actions = harness.handle(Event::HealthChecked {
         server,
         outcome: Outcome::Success,
-        elapsed: Span::from_ms(1.0),
-        load_report: Some(vec![0.5, in_flight]),
+        elapsed: Span::from_millis(1),
+        load_report: Some(LoadReport::new(vec![0.5, in_flight])),
     });
     actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
--- a/crates/balancer-core/tests/memory_growth.rs
+++ b/crates/balancer-core/tests/memory_growth.rs
@@ -23,7 +23,7 @@
 impl Service {
     fn new(settings: Settings) -> Self {
         let balancer = Balancer::new(settings, 1).expect("usable settings");
-        let now = Time::from_ms(1000.0);
+        let now = Time::from_millis(1000);
         let mut service = Service { balancer, now, next_request: 0, actions: Vec::new() };
         service.balancer.start(now, &mut service.actions);
         service.handle(Event::Endpoints(EndpointUpdate::Complete(fleet(6, 2, 2))));
@@ -43,9 +43,9 @@
     fn serve_one(&mut self) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.now = self.now + Span::from_ms(5.0);
+        self.now = self.now + Span::from_millis(5);
         self.actions.clear();
-        let mut request = Request::new(id, ClassId(0), Span::from_ms(800.0));
+        let mut request = Request::new(id, ClassId(0), Span::from_millis(800));
         request.routing_key = Some(RoutingKey(id.0));
         self.handle(Event::Request(request));
         assert!(self.actions.iter().any(is_send), "{id:?} was not sent");
@@ -53,7 +53,7 @@
             request: id,
             attempt: AttemptNumber(0),
             outcome: Outcome::Success,
-            elapsed: Span::from_ms(20.0),
+            elapsed: Span::from_millis(20),
             load_report: None,
             is_request_finished: true,
         });
--- a/crates/balancer-core/tests/outlier_ejection.rs
+++ b/crates/balancer-core/tests/outlier_ejection.rs
@@ -119,7 +119,7 @@
     let before_objective = harness.advance_ms(195.0);
     let after_objective = harness.advance_ms(60.0);
 
-    let is_reaction = |action: &Action| is_cancel(action) || matches!(action, Action::Log { .. });
+    let is_reaction = |action: &Action| is_cancel(action) || matches!(action, Action::Notify(_));
     assert!(!before_objective.iter().any(is_reaction));
     assert!(after_objective.iter().any(is_reaction), "past its objective it counts");
 }
--- a/crates/balancer-core/tests/overload.rs
+++ b/crates/balancer-core/tests/overload.rs
@@ -52,7 +52,7 @@
     let mut harness = harness(1);
     let queued_count = fill_queue(&mut harness, 12).queued.len();
     let start = harness.now;
-    let objective = Span::from_ms(200.0);
+    let objective = Span::from_millis(200);
 
     let mut rejection_count = 0;
     while harness.now.since(start) < objective && rejection_count < queued_count {
@@ -180,7 +180,7 @@
     let mut harness = harness(9);
     let mut is_sent = |number: u64, time_left_ms: f64| {
         let id = RequestId(1000 + number);
-        let request = Request::new(id, ClassId(0), Span::from_ms(time_left_ms));
+        let request = Request::new(id, ClassId(0), Span::from_millis_f64(time_left_ms));
         harness.handle(Event::Request(request)).iter().any(is_send)
     };
 
@@ -270,7 +270,7 @@
     fn note_send(&mut self, action: &Action) {
         let Action::Send { request, .. } = action else { return };
         if let Some(open) = self.open.iter_mut().find(|open| open.request.id == *request) {
-            open.answered_at = Some(self.harness.now + Span::from_ms(40.0));
+            open.answered_at = Some(self.harness.now + Span::from_millis(40));
         }
     }
 }
@@ -284,7 +284,7 @@
 
     let served = OverloadedService::served_shares(settings, |number| {
         let class = ClassId((number % 3) as usize);
-        Request::new(RequestId(u64::from(number)), class, Span::from_ms(800.0))
+        Request::new(RequestId(u64::from(number)), class, Span::from_millis(800))
     });
 
     assert!(served[2] > served[0] + 0.1 && served[2] > served[1] + 0.1, "{served:?}");
@@ -299,7 +299,7 @@
 
     let served = OverloadedService::served_shares(settings, |number| Request {
         tenant: Some(TenantId(usize::from(number % 5 == 0))),
-        ..Request::new(RequestId(u64::from(number)), ClassId(0), Span::from_ms(800.0))
+        ..Request::new(RequestId(u64::from(number)), ClassId(0), Span::from_millis(800))
     });
 
     assert!(served[1] > served[0] + 0.05, "the one within its share: {served:?}");
--- a/crates/balancer-core/tests/random_events.rs
+++ b/crates/balancer-core/tests/random_events.rs
@@ -31,7 +31,7 @@
         load_report_fields: vec![LoadReportField::InFlight, LoadReportField::ServiceTime],
         discovery_mode,
         initial_capacity: 0.2,
-        warm_up_time: Span::from_ms(4000.0),
+        warm_up_time: Span::from_millis(4000),
         ..Settings::default()
     }
 }
@@ -119,7 +119,7 @@
         let time_left = self.classes[class].deadline * (rng.f64() * 1.2).min(1.0);
         let mut request = Request::new(id, ClassId(class), time_left);
         request.routing_key = rng.bool().then(|| RoutingKey(rng.u64(0..5)));
-        request.cost_hint = rng.bool().then(|| Span::from_ms(rng.f64() * 80.0));
+        request.cost_hint = rng.bool().then(|| Span::from_millis_f64(rng.f64() * 80.0));
         self.harness.handle(Event::Request(request)).to_vec()
     }
 
@@ -136,7 +136,9 @@
             4 if may_be_unsent => Outcome::NotSent,
             _ => Outcome::Success,
         };
-        let load_report = rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
+        let load_report = rng
+            .bool()
+            .then(|| LoadReport::new(vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]));
         let event = Event::AttemptEnded {
             request: ended.request,
             attempt: AttemptNumber(ended.attempt),
--- a/crates/balancer-core/tests/recorded_actions/action_recorder.rs
+++ b/crates/balancer-core/tests/recorded_actions/action_recorder.rs
@@ -1,6 +1,6 @@
 //! The digest of a sequence of actions.
 
-use balancer_core::{Action, Time};
+use balancer_core::{Action, Notice, Time};
 use fnv::FnvHasher;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -22,7 +22,7 @@
     CloseIdle = 6,
     Gossip = 7,
     WatchEndpoints = 8,
-    Log = 10,
+    Notify = 10,
 }
 
 impl ActionKind {
@@ -36,7 +36,7 @@
         ActionKind::CloseIdle,
         ActionKind::Gossip,
         ActionKind::WatchEndpoints,
-        ActionKind::Log,
+        ActionKind::Notify,
     ];
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// The contents of an action in numbers. Numbers in log lines count, their wording does not.
+/// The contents of an action in numbers.
 fn encode(action: &Action) -> (ActionKind, Vec<u64>) {
     match action {
         Action::Send { request, server, timeout_at, write_by } => {
@@ -80,7 +80,7 @@
             (ActionKind::Reject, vec![request.0, retry_after.map_or(NONE, |after| after.0)])
         }
         Action::Fail { request } => (ActionKind::Fail, vec![request.0]),
-        Action::SetTimer { at, timer } => (ActionKind::SetTimer, vec![at.0, timer.0]),
+        Action::SetTimer { at, timer } => (ActionKind::SetTimer, vec![at.0, timer.number()]),
         Action::CheckHealth { server } => (ActionKind::CheckHealth, vec![server.0.into()]),
         Action::CloseIdle { server } => (ActionKind::CloseIdle, vec![server.0.into()]),
         Action::Gossip { to, payload } => {
@@ -89,9 +89,20 @@
             (ActionKind::Gossip, contents)
         }
         Action::WatchEndpoints => (ActionKind::WatchEndpoints, vec![NO_CONTENTS]),
-        Action::Log { text } => {
-            let numbers = text.split_whitespace().filter_map(|word| word.parse::<f64>().ok());
-            (ActionKind::Log, numbers.map(f64::to_bits).collect())
-        }
+        Action::Notify(notice) => (ActionKind::Notify, encode_notice(notice)),
     }
 }
+
+/// The contents of a notice in numbers. Ratios count to two decimals, as the digests were recorded when the
+/// balancer still worded its log lines itself.
+fn encode_notice(notice: &Notice) -> Vec<u64> {
+    let Notice::ServerEjected { server, latency_ratio, fleet_median, .. } = notice else {
+        panic!("a notice of an unknown kind: {notice:?}");
+    };
+    let ratios = [latency_ratio, fleet_median].map(|ratio| two_decimals(ratio.value()));
+    [f64::from(server.0), ratios[0], ratios[1]].map(f64::to_bits).to_vec()
+}
+
+fn two_decimals(value: f64) -> f64 {
+    format!("{value:.2}").parse().expect("a number")
+}
--- a/crates/balancer-core/tests/recorded_actions/clients.rs
+++ b/crates/balancer-core/tests/recorded_actions/clients.rs
@@ -63,7 +63,7 @@
             request.routing_key = Some(RoutingKey(rng.u64(0..self.scenario.routing_key_count)));
         }
         if rng.u32(0..3) == 0 {
-            request.cost_hint = Some(Span::from_ms(5.0 + rng.f64() * 150.0));
+            request.cost_hint = Some(Span::from_millis_f64(5.0 + rng.f64() * 150.0));
         }
         request
     }
--- a/crates/balancer-core/tests/recorded_actions/scenarios.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios.rs
@@ -36,7 +36,7 @@
         class(Effect::Idempotent),
         RequestClass {
             priority_weight: 4.0,
-            latency_objective: Span::from_ms(120.0),
+            latency_objective: Span::from_millis(120),
             ..class(Effect::AtMostOnce)
         },
         RequestClass { priority_weight: 2.0, ..class(deduplicated(DedupScope::Fleet, 400.0)) },
@@ -52,13 +52,13 @@
         classes: all_effects(),
         goal: GoalWeights { overall: 0.6, worst_window: 0.2, worst_class: 0.2, worst_tenant: 0.0 },
         sends_retry_after: true,
-        max_retry_after: Span::from_ms(45.0),
+        max_retry_after: Span::from_millis(45),
         initial_capacity: 0.15,
-        warm_up_time: Span::from_ms(6000.0),
+        warm_up_time: Span::from_millis(6000),
         overload_factor: 3.0,
-        overload_window: Span::from_ms(800.0),
-        connect_timeout: Span::from_ms(20.0),
-        max_poll_interval: Span::from_ms(3000.0),
+        overload_window: Span::from_millis(800),
+        connect_timeout: Span::from_millis(20),
+        max_poll_interval: Span::from_millis(3000),
         ..Settings::default()
     }
 }
--- a/crates/balancer-core/tests/recorded_actions/servers.rs
+++ b/crates/balancer-core/tests/recorded_actions/servers.rs
@@ -4,8 +4,8 @@
 use super::schedule::ScheduledEvent;
 use super::simulation::Simulation;
 use balancer_core::{
-    AttemptNumber, CellId, Endpoint, EndpointStatus, Event, LoadReportSource, MachineKindId, Outcome,
-    RequestId, ServerId, Span, Time, ZoneId,
+    AttemptNumber, CellId, Endpoint, EndpointStatus, Event, LoadReport, LoadReportSource, MachineKindId,
+    Outcome, RequestId, ServerId, Span, Time, ZoneId,
 };
 
 /// What a server does with the attempts that reach it.
@@ -93,7 +93,7 @@
         let attempt = client_request.attempt_count;
         client_request.attempt_count += 1;
         client_request.in_flight.insert(attempt, InFlightAttempt { server, sent_at });
-        let time_left_ms = timeout_at.since(sent_at).as_ms();
+        let time_left_ms = timeout_at.since(sent_at).as_millis_f64();
         let (outcome, after_ms) = if response.after_ms < time_left_ms {
             (response.outcome, response.after_ms)
         } else {
@@ -150,14 +150,15 @@
         let is_silent = self.servers.get(&server).is_none_or(|server| server.fault == ServerFault::Hangs);
         let (outcome, load_report) =
             if is_silent { (Outcome::TimedOut, None) } else { (Outcome::Success, Some(load_report)) };
-        self.handle(Event::HealthChecked { server, outcome, elapsed: Span::from_ms(2.0), load_report });
+        self.handle(Event::HealthChecked { server, outcome, elapsed: Span::from_millis(2), load_report });
     }
 
-    fn draw_load_report(&mut self, server: ServerId) -> Vec<f64> {
+    fn draw_load_report(&mut self, server: ServerId) -> LoadReport {
         let in_flight = self.servers.get(&server).map_or(0, |server| server.in_flight);
-        match self.rng.u32(0..20) {
-            0 => vec![f64::NAN, -4.0],
-            _ => vec![f64::from(in_flight) + self.rng.f64() * 6.0 * self.fleet_slowness, 20.0],
+        if self.rng.u32(0..20) == 0 {
+            return LoadReport::new(vec![f64::NAN, -4.0]);
         }
+        let load = f64::from(in_flight) + self.rng.f64() * 6.0 * self.fleet_slowness;
+        LoadReport::new(vec![load, 20.0])
     }
 }
--- a/crates/balancer-core/tests/recorded_actions/simulation.rs
+++ b/crates/balancer-core/tests/recorded_actions/simulation.rs
@@ -36,7 +36,7 @@
         let balancer = Balancer::new(scenario.settings.clone(), scenario.seed).expect("usable settings");
         let mut simulation = Simulation {
             rng: fastrand::Rng::with_seed(scenario.seed ^ 0x5eed),
-            now: Time::from_ms(1_000_000.0),
+            now: Time::from_millis(1_000_000),
             servers: BTreeMap::new(),
             next_server: 0,
             requests: BTreeMap::new(),
@@ -92,7 +92,7 @@
     }
 
     pub fn schedule(&mut self, after_ms: f64, event: ScheduledEvent) {
-        self.schedule.add(self.now + Span::from_ms(after_ms), event);
+        self.schedule.add(self.now + Span::from_millis_f64(after_ms), event);
     }
 
     fn happen(&mut self, event: ScheduledEvent) {
--- a/crates/balancer-core/tests/retry_permissions.rs
+++ b/crates/balancer-core/tests/retry_permissions.rs
@@ -182,7 +182,7 @@
 fn retry_carries_the_end_of_its_deduplication_window() {
     let settings = Settings {
         classes: vec![class(deduplicated(DedupScope::Fleet, 400.0))],
-        connect_timeout: Span::from_ms(250.0),
+        connect_timeout: Span::from_millis(250),
         max_attempts: 6,
         ..Settings::default()
     };
@@ -198,7 +198,7 @@
         harness.advance_ms(elapsed_ms);
         harness.end_attempt(request.id, 1, Outcome::ConnectionReset, elapsed_ms);
 
-        let window_end = second_sent_at + Span::from_ms(400.0);
+        let window_end = second_sent_at + Span::from_millis(400);
         let expected = is_retried.then_some(SendLimit { write_by: Some(window_end) });
         assert_eq!(first_send(&harness.actions), expected, "after {elapsed_ms} ms");
         harness.assert_no_violations();
--- a/crates/balancer-core/tests/rule_checker.rs
+++ b/crates/balancer-core/tests/rule_checker.rs
@@ -12,10 +12,10 @@
     let settings = Settings {
         classes: vec![class(effect)],
         initial_capacity: 0.2,
-        warm_up_time: Span::from_ms(10_000.0),
+        warm_up_time: Span::from_millis(10_000),
         ..Settings::default()
     };
-    let now = Time::from_ms(1000.0);
+    let now = Time::from_millis(1000);
     let mut checker = RuleChecker::new(&settings);
     checker.observe_event(now, &Event::Endpoints(EndpointUpdate::Complete(fleet(4, 2, 4))));
     checker.observe_event(now, &request_event(REQUEST));
@@ -23,7 +23,7 @@
 }
 
 fn request_event(id: RequestId) -> Event {
-    Event::Request(Request::new(id, ClassId(0), Span::from_ms(800.0)))
+    Event::Request(Request::new(id, ClassId(0), Span::from_millis(800)))
 }
 
 fn changed(endpoint: Endpoint) -> Event {
@@ -31,7 +31,7 @@
 }
 
 fn send(server: u32, now: Time) -> Action {
-    send_request(REQUEST, server, now + Span::from_ms(1.0))
+    send_request(REQUEST, server, now + Span::from_millis(1))
 }
 
 fn send_request(request: RequestId, server: u32, timeout_at: Time) -> Action {
@@ -43,7 +43,7 @@
         request: REQUEST,
         attempt: AttemptNumber(attempt),
         outcome,
-        elapsed: Span::from_ms(1.0),
+        elapsed: Span::from_millis(1),
         load_report: None,
         is_request_finished: false,
     }
@@ -61,7 +61,7 @@
 #[test]
 fn lost_late_and_duplicate_answers_and_sends_after_the_end_are_violations() {
     let (mut checker, now) = checker_with_request(Effect::Idempotent);
-    assert_eq!(checker.lost_request_count(now + Span::from_ms(900.0)), 1);
+    assert_eq!(checker.lost_request_count(now + Span::from_millis(900)), 1);
     checker.check_action(now, &Action::Reject { request: REQUEST, retry_after: None });
     assert_no_violations(&checker);
     checker.check_action(now, &send(0, now));
@@ -70,7 +70,7 @@
     assert_violated(&checker, Rule::OneEnd);
 
     let (mut checker, now) = checker_with_request(Effect::Idempotent);
-    checker.check_action(now + Span::from_ms(850.0), &Action::Fail { request: REQUEST });
+    checker.check_action(now + Span::from_millis(850), &Action::Fail { request: REQUEST });
     assert_violated(&checker, Rule::EndInTime);
 }
 
@@ -93,7 +93,7 @@
     checker.observe_event(now, &attempt_ended(Outcome::TimedOut, 1));
     checker.check_action(now, &send(1, now));
     assert_violated(&checker, Rule::RetryWithinDeduplicationScope);
-    let after_window = now + Span::from_ms(150.0);
+    let after_window = now + Span::from_millis(150);
     checker.observe_event(after_window, &attempt_ended(Outcome::TimedOut, 2));
     checker.check_action(after_window, &send(0, after_window));
     assert_violated(&checker, Rule::NoRetryAfterItMayHaveRun);
@@ -104,9 +104,9 @@
     let (mut checker, now) = checker_with_request(Effect::Idempotent);
     let draining = Endpoint { status: EndpointStatus::Draining, ..Endpoint::serving(ServerId(0)) };
     checker.observe_event(now, &changed(draining));
-    let after_grace = now + Span::from_ms(1100.0);
+    let after_grace = now + Span::from_millis(1100);
     checker.observe_event(after_grace, &request_event(RequestId(2)));
-    checker.check_action(after_grace, &send_request(RequestId(2), 0, after_grace + Span::from_ms(1.0)));
+    checker.check_action(after_grace, &send_request(RequestId(2), 0, after_grace + Span::from_millis(1)));
     assert_violated(&checker, Rule::NoSendToDrainingServer);
 
     let (mut checker, now) = checker_with_request(Effect::Idempotent);
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -51,7 +51,7 @@
         let request = harness.send_request(0);
         assert!(request.is_sent());
         harness.advance_ms(10.0);
-        let report = Some(vec![f64::NAN, -1.0, 1e300]);
+        let report = Some(LoadReport::new(vec![f64::NAN, -1.0, 1e300]));
         harness.end_attempt_with_report(request.id, 0, Response::success(10.0), report);
     }
 
@@ -61,7 +61,7 @@
 #[test]
 fn request_of_unknown_class_is_rejected() {
     let mut harness = Harness::with_endpoints(Settings::default(), 1, fleet(3, 1, 1));
-    let request = Request::new(RequestId(5), ClassId(9), Span::from_ms(100.0));
+    let request = Request::new(RequestId(5), ClassId(9), Span::from_millis(100));
 
     let mut actions = Vec::new();
     harness.balancer.handle(harness.now, Event::Request(request), &mut actions);
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -10,9 +10,9 @@
 fn settings() -> Settings {
     Settings {
         initial_capacity: 0.2,
-        warm_up_time: Span::from_ms(10_000.0),
+        warm_up_time: Span::from_millis(10_000),
         overload_factor: 2.5,
-        overload_window: Span::from_ms(1500.0),
+        overload_window: Span::from_millis(1500),
         balancer_count: 3,
         ..idempotent_settings()
     }
@@ -48,13 +48,13 @@
     fn run(&self, harness: &mut Harness) -> SendCounts {
         let mut counts = SendCounts::default();
         let mut in_flight: Vec<InFlightRequest> = Vec::new();
-        let end = harness.now + Span::from_ms(self.duration_ms);
+        let end = harness.now + Span::from_millis_f64(self.duration_ms);
         while harness.now < end {
             let request = harness.send_request(0);
             if let Some(server) = request.server {
                 counts.total += 1;
                 counts.to_counted_server += u32::from(server == self.counted_server);
-                let ends_at = harness.now + Span::from_ms(RESPONSE_MS);
+                let ends_at = harness.now + Span::from_millis_f64(RESPONSE_MS);
                 in_flight.push(InFlightRequest { id: request.id, ends_at });
             }
             harness.advance_ms(1000.0 / self.requests_per_s);
@@ -151,7 +151,7 @@
     balancer.handle(Time(1), Event::Endpoints(EndpointUpdate::Complete(fleet(2, 1, 1))), &mut actions);
 
     for number in 0..4 {
-        let request = Request::new(RequestId(number), ClassId(0), Span::from_ms(800.0));
+        let request = Request::new(RequestId(number), ClassId(0), Span::from_millis(800));
         balancer.handle(Time(2), Event::Request(request), &mut actions);
     }
 
--- a/crates/balancer-core/tests/sparse_slow_start.rs
+++ b/crates/balancer-core/tests/sparse_slow_start.rs
@@ -10,7 +10,11 @@
 
 /// Settings under which servers stay at their initial capacity.
 fn settings_with_endless_warm_up() -> Settings {
-    Settings { initial_capacity: INITIAL_CAPACITY, warm_up_time: Span::from_ms(1e9), ..sparse_settings() }
+    Settings {
+        initial_capacity: INITIAL_CAPACITY,
+        warm_up_time: Span::from_millis_f64(1e9),
+        ..sparse_settings()
+    }
 }
 
 /// A harness with 40 servers, of which the last 20 have just started.
--- a/crates/balancer-settings/src/decision_settings.rs
+++ b/crates/balancer-settings/src/decision_settings.rs
@@ -36,7 +36,7 @@
             allows_health_checks: limits.allows_health_checks,
             allows_gossip: limits.allows_gossip,
             sends_retry_after: limits.sends_retry_after,
-            max_retry_after: Span::from_ms(limits.max_retry_after_ms),
+            max_retry_after: Span::from_millis_f64(limits.max_retry_after_ms),
             drain_grace: span_or(rules.drain_grace_ms, default.drain_grace),
             initial_capacity: rules.initial_capacity.unwrap_or(default.initial_capacity),
             warm_up_time: span_or(rules.warm_up_time_ms, default.warm_up_time),
@@ -49,7 +49,7 @@
 }
 
 fn span_or(milliseconds: Option<f64>, default: Span) -> Span {
-    milliseconds.map_or(default, Span::from_ms)
+    milliseconds.map_or(default, Span::from_millis_f64)
 }
 
 fn value_basis(basis: Option<WireValueBasis>) -> ValueBasis {
@@ -130,9 +130,9 @@
     fn from(wire: &WireClass) -> Self {
         RequestClass {
             effect: effect(wire),
-            latency_objective: Span::from_ms(wire.latency_objective_ms),
+            latency_objective: Span::from_millis_f64(wire.latency_objective_ms),
             objective_stretch: wire.objective_stretch.unwrap_or(0.0),
-            deadline: Span::from_ms(wire.deadline_ms),
+            deadline: Span::from_millis_f64(wire.deadline_ms),
             priority_weight: wire.priority_weight,
             late_value: wire.late_value,
             is_streaming: wire.is_streaming,
@@ -146,7 +146,7 @@
         WireEffect::AtMostOnce => Effect::AtMostOnce,
         WireEffect::Deduplicated => Effect::Deduplicated {
             scope: dedup_scope(class.dedup_scope),
-            window: Span::from_ms(class.dedup_window_ms),
+            window: Span::from_millis_f64(class.dedup_window_ms),
         },
     }
 }
--- a/crates/balancer-settings/src/host_settings.rs
+++ b/crates/balancer-settings/src/host_settings.rs
@@ -37,8 +37,8 @@
             zone_names: wire.zone_names.clone(),
             machine_kind_names: wire.machine_kind_names.clone(),
             load_report_fields: wire.feedback.fields.clone(),
-            connect_timeout: Span::from_ms(connect_timeout_ms),
-            keepalive: Span::from_ms(keepalive_ms),
+            connect_timeout: Span::from_millis_f64(connect_timeout_ms),
+            keepalive: Span::from_millis_f64(keepalive_ms),
         }
     }
 }
--- a/crates/balancer-settings/tests/wire_settings.rs
+++ b/crates/balancer-settings/tests/wire_settings.rs
@@ -44,10 +44,10 @@
 
 fn expected_class() -> RequestClass {
     RequestClass {
-        effect: Effect::Deduplicated { scope: DedupScope::Zone, window: Span::from_ms(900.0) },
-        latency_objective: Span::from_ms(150.0),
+        effect: Effect::Deduplicated { scope: DedupScope::Zone, window: Span::from_millis(900) },
+        latency_objective: Span::from_millis(150),
         objective_stretch: 0.5,
-        deadline: Span::from_ms(300.0),
+        deadline: Span::from_millis(300),
         priority_weight: 10.0,
         late_value: 0.3,
         is_streaming: true,
@@ -73,7 +73,7 @@
             late_failure: 0.064,
         },
         discovery_mode: DiscoveryMode::OnRequest,
-        max_poll_interval: Span::from_ms(11_000.0),
+        max_poll_interval: Span::from_millis(11_000),
         load_report_source: LoadReportSource::HealthChecks,
         load_report_fields: vec![
             InFlight,
@@ -92,14 +92,14 @@
         allows_health_checks: true,
         allows_gossip: true,
         sends_retry_after: true,
-        max_retry_after: Span::from_ms(1500.0),
-        drain_grace: Span::from_ms(260.0),
+        max_retry_after: Span::from_millis(1500),
+        drain_grace: Span::from_millis(260),
         initial_capacity: 0.14,
-        warm_up_time: Span::from_ms(23_000.0),
+        warm_up_time: Span::from_millis(23_000),
         overload_factor: 3.5,
-        overload_window: Span::from_ms(2100.0),
+        overload_window: Span::from_millis(2100),
         connect_timeout: Settings::default().connect_timeout,
-        event_interval: Span::from_ms(7.0),
+        event_interval: Span::from_millis(7),
     }
 }
 
@@ -122,8 +122,8 @@
         load_report_fields: ["inflight", "queue", "util", "latency_ms", "qps", "eps", "weather"]
             .map(String::from)
             .to_vec(),
-        connect_timeout: Span::from_ms(120.0),
-        keepalive: Span::from_ms(60_000.0),
+        connect_timeout: Span::from_millis(120),
+        keepalive: Span::from_millis(60_000),
     };
     assert_eq!(host, expected);
 }
@@ -143,13 +143,13 @@
     assert_eq!(settings.classes[0].effect, Effect::AtMostOnce, "the safe reading of a missing effect");
     assert_eq!(settings.classes[0].priority_weight, 0.0);
     assert_eq!(host.class_names, [""]);
-    assert_eq!(host.connect_timeout, Span::from_ms(250.0));
-    assert_eq!(host.keepalive, Span::from_ms(15_000.0));
+    assert_eq!(host.connect_timeout, Span::from_millis(250));
+    assert_eq!(host.keepalive, Span::from_millis(15_000));
 }
 
 #[test]
 fn deduplication_scope_is_the_cell_unless_stated() {
-    let window = Span::from_ms(900.0);
+    let window = Span::from_millis(900);
     for (group, scope) in [
         ("", DedupScope::Cell),
         (r#","group":null"#, DedupScope::Cell),
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -8,12 +8,13 @@
     WireUpdateForm, FLAG_CLIENT_RETRY, FLAG_VALID_COST_HINT,
 };
 use balancer_core::{
-    AttemptNumber, ClassId, Endpoint, EndpointUpdate, Event, Outcome, PeerId, Request, RoutingKey, Span,
-    TenantId, TimerId,
+    AttemptNumber, ClassId, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, PeerId, Request,
+    RoutingKey, Span, TenantId, TimerId,
 };
 use balancer_settings::hash_name;
 
-/// The event for the balancer; `None` if it is about a request that has long been over.
+/// The event for the balancer; `None` if it is about a request that has long been over, or about
+/// a timer that no balancer sets.
 ///
 /// # Errors
 ///
@@ -38,7 +39,7 @@
             let request = names.requests.disconnect(&request_id);
             request.map(|request| Event::ClientDisconnected { request })
         }
-        WireEvent::TimerDue { timer } => Some(Event::TimerDue(TimerId(timer))),
+        WireEvent::TimerDue { timer } => TimerId::from_number(timer).map(Event::TimerDue),
         WireEvent::HealthChecked(checked) => Some(decode_health_checked(checked, names)?),
         WireEvent::Gossip(gossip) => Some(decode_gossip(&gossip)?),
         // These are for the host; a balancer is not told of them.
@@ -75,7 +76,7 @@
         routing_key: request.routing_key.as_deref().map(|key| RoutingKey(hash_name(key))),
         cost_hint: cost_hint(request),
         is_client_retry: has_flag(request, FLAG_CLIENT_RETRY),
-        time_left: Span::from_ms(request.time_left_ms),
+        time_left: Span::from_millis_f64(request.time_left_ms),
     })
 }
 
@@ -83,7 +84,7 @@
     if !has_flag(request, FLAG_VALID_COST_HINT) {
         return None;
     }
-    request.cost_hint_ms.filter(|ms| ms.is_finite() && *ms > 0.0).map(Span::from_ms)
+    request.cost_hint_ms.filter(|ms| ms.is_finite() && *ms > 0.0).map(Span::from_millis_f64)
 }
 
 fn has_flag(request: &WireRequest<'_>, flag: u64) -> bool {
@@ -96,8 +97,8 @@
         request,
         attempt: AttemptNumber(ended.attempt),
         outcome: Outcome::from(ended.outcome),
-        elapsed: Span::from_ms(ended.elapsed_ms),
-        load_report: ended.load_report,
+        elapsed: Span::from_millis_f64(ended.elapsed_ms),
+        load_report: ended.load_report.map(LoadReport::new),
         is_request_finished: ended.is_request_finished,
     })
 }
@@ -108,8 +109,8 @@
     Ok(Event::HealthChecked {
         server,
         outcome: Outcome::from(checked.outcome),
-        elapsed: Span::from_ms(checked.elapsed_ms),
-        load_report: checked.load_report,
+        elapsed: Span::from_millis_f64(checked.elapsed_ms),
+        load_report: checked.load_report.map(LoadReport::new),
     })
 }
 
--- a/crates/simulator-adapter/src/decode/tests.rs
+++ b/crates/simulator-adapter/src/decode/tests.rs
@@ -3,7 +3,9 @@
 use super::decode;
 use crate::endpoint_lists::EndpointLists;
 use crate::instance_names::InstanceNames;
-use balancer_core::{ClassId, Event, Outcome, PeerId, Request, RequestId, RoutingKey, Span, TenantId};
+use balancer_core::{
+    ClassId, Event, LoadReport, Outcome, PeerId, Request, RequestId, RoutingKey, Span, TenantId,
+};
 use balancer_settings::hash_name;
 use std::rc::Rc;
 
@@ -29,16 +31,16 @@
         class: ClassId(1),
         tenant: Some(TenantId(2)),
         routing_key: Some(RoutingKey(hash_name("k:1"))),
-        cost_hint: Some(Span::from_ms(12.5)),
+        cost_hint: Some(Span::from_millis_f64(12.5)),
         is_client_retry: true,
-        time_left: Span::from_ms(640.125),
+        time_left: Span::from_millis_f64(640.125),
     };
     assert_eq!(request, expected);
 }
 
 #[test]
 fn cost_hint_counts_only_if_it_is_flagged_and_positive() {
-    assert_eq!(decode_request(r#","estimateMs":12.5,"opts":1"#).cost_hint, Some(Span::from_ms(12.5)));
+    assert_eq!(decode_request(r#","estimateMs":12.5,"opts":1"#).cost_hint, Some(Span::from_millis_f64(12.5)));
     assert_eq!(decode_request(r#","estimateMs":12.5,"opts":6"#).cost_hint, None);
     assert_eq!(decode_request(r#","estimateMs":12.5"#).cost_hint, None);
     assert_eq!(decode_request(r#","estimateMs":0.0,"opts":1"#).cost_hint, None);
@@ -81,7 +83,7 @@
 
         let event = decode_json(&format!(r#"{{"PROBED":{{{fields}}}}}"#), &mut names);
 
-        let (elapsed, load_report) = (Span::from_ms(1.4), Some(vec![7.0, 0.5]));
+        let (elapsed, load_report) = (Span::from_millis_f64(1.4), Some(LoadReport::new(vec![7.0, 0.5])));
         assert_eq!(event, Some(Event::HealthChecked { server, outcome, elapsed, load_report }), "{code}");
     }
 }
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -3,7 +3,7 @@
 use crate::error::ActionError;
 use crate::instance_names::InstanceNames;
 use crate::wire::{WireAction, ALL_PEERS};
-use balancer_core::{Action, PeerId, RequestId, ServerId, Span};
+use balancer_core::{Action, Notice, PeerId, RequestId, ServerId, Span};
 use std::rc::Rc;
 
 /// The action for the simulator. One that cannot be encoded becomes the report of a bug.
@@ -16,27 +16,41 @@
         Action::Send { request, server, timeout_at, .. } => WireAction::Send {
             server: server_name(server, names)?,
             request_id: owned(names.requests.start_attempt(request))?,
-            timeout_at_ms: timeout_at.as_ms(),
+            timeout_at_ms: timeout_at.as_millis_f64(),
         },
         Action::Cancel { request, attempt } => {
             WireAction::Cancel { request_id: owned(names.requests.wire_id(request))?, attempt: attempt.0 }
         }
         Action::Reject { request, retry_after } => WireAction::Reject {
             request_id: end_request(request, names)?,
-            retry_after_ms: retry_after.map(Span::as_ms),
+            retry_after_ms: retry_after.map(Span::as_millis_f64),
         },
         Action::Fail { request } => WireAction::Fail { request_id: end_request(request, names)? },
-        Action::SetTimer { at, timer } => WireAction::SetTimer { at_ms: at.as_ms(), timer: timer.0 },
+        Action::SetTimer { at, timer } => {
+            WireAction::SetTimer { at_ms: at.as_millis_f64(), timer: timer.number() }
+        }
         Action::CheckHealth { server } => WireAction::CheckHealth { server: server_name(server, names)? },
         Action::CloseIdle { server } => WireAction::CloseIdle { server: server_name(server, names)? },
         Action::Gossip { to, payload } => {
             WireAction::Gossip { receiver: receiver(to), payload: hex::encode(payload) }
         }
         Action::WatchEndpoints => WireAction::WatchEndpoints { is_active: true },
-        Action::Log { text } => WireAction::Log { text },
+        Action::Notify(notice) => WireAction::Log { text: describe(&notice) },
     })
 }
 
+fn describe(notice: &Notice) -> String {
+    match notice {
+        Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
+            "server {} ejected ({reason}): latency ratio {:.2} of a fleet median of {:.2}",
+            server.0,
+            latency_ratio.value(),
+            fleet_median.value()
+        ),
+        _ => format!("{notice:?}"),
+    }
+}
+
 fn server_name(server: ServerId, names: &InstanceNames) -> Result<String, ActionError> {
     let name = names.servers.name(server).ok_or(ActionError::UnknownServer(server))?;
     Ok(name.to_string())
--- a/crates/simulator-adapter/src/encode/tests.rs
+++ b/crates/simulator-adapter/src/encode/tests.rs
@@ -2,7 +2,10 @@
 
 use super::encode;
 use crate::instance_names::InstanceNames;
-use balancer_core::{Action, AttemptNumber, PeerId, RequestId, ServerId, Span, Time, TimerId};
+use balancer_core::{
+    Action, AttemptNumber, EjectionReason, LatencyRatio, Notice, PeerId, RequestId, ServerId, Span, Time,
+    TimerId,
+};
 use std::rc::Rc;
 
 const REQUEST: RequestId = RequestId(0);
@@ -22,7 +25,7 @@
 #[test]
 fn actions_about_requests_have_the_form_of_the_wire() {
     let (mut names, server) = known_names();
-    let timeout_at = Time::from_ms(8492.25);
+    let timeout_at = Time::from_millis_f64(8492.25);
     for (action, json) in [
         (
             Action::Send { request: REQUEST, server, timeout_at, write_by: None },
@@ -33,7 +36,7 @@
             r#"{"ABANDON":{"ticket":"r-1","attempt":2}}"#,
         ),
         (
-            Action::Reject { request: REQUEST, retry_after: Some(Span::from_ms(1.5)) },
+            Action::Reject { request: REQUEST, retry_after: Some(Span::from_millis_f64(1.5)) },
             r#"{"OVERLOAD_REPLY":{"ticket":"r-1","notBeforeForMs":1.5}}"#,
         ),
         (
@@ -50,17 +53,26 @@
 fn other_actions_have_the_form_of_the_wire() {
     let (mut names, server) = known_names();
     let payload = vec![0x0a, 0xff];
+    let ejection = Notice::ServerEjected {
+        server,
+        reason: EjectionReason::Failing,
+        latency_ratio: LatencyRatio::new(0.456),
+        fleet_median: LatencyRatio::new(0.2),
+    };
+    let ejection_text =
+        format!("server {} ejected (failing): latency ratio 0.46 of a fleet median of 0.20", server.0);
+    let ejection_json = format!(r#"{{"NOTE_DOWN":{{"what":"{ejection_text}"}}}}"#);
     for (action, json) in [
         (
-            Action::SetTimer { at: Time::from_ms(8912.25), timer: TimerId(77) },
-            r#"{"TIMER":{"atMs":8912.25,"keyBack":77}}"#,
+            Action::SetTimer { at: Time::from_millis_f64(8912.25), timer: TimerId::LoadPollTimeout },
+            r#"{"TIMER":{"atMs":8912.25,"keyBack":1}}"#,
         ),
         (Action::CheckHealth { server }, r#"{"HEALTH_CHECK":{"backend":"backend_a"}}"#),
         (Action::CloseIdle { server }, r#"{"CLOSE_IDLE":{"backend":"backend_a"}}"#),
         (Action::Gossip { to: None, payload: payload.clone() }, r#"{"ANNOUNCE":{"to":-1,"raw":"0aff"}}"#),
         (Action::Gossip { to: Some(PeerId(3)), payload }, r#"{"ANNOUNCE":{"to":3,"raw":"0aff"}}"#),
         (Action::WatchEndpoints, r#"{"FOLLOW":{"active":true}}"#),
-        (Action::Log { text: "two servers".into() }, r#"{"NOTE_DOWN":{"what":"two servers"}}"#),
+        (Action::Notify(ejection), ejection_json.as_str()),
     ] {
         assert_eq!(to_json(action, &mut names), json);
     }
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -64,7 +64,7 @@
             cell: CellId(wire.cell),
             status: EndpointStatus::from(wire.status),
             weight: wire.weight.unwrap_or(DEFAULT_WEIGHT),
-            started_at: wire.started_at_ms.filter(|ms| *ms > 0.0).map(Time::from_ms),
+            started_at: wire.started_at_ms.filter(|ms| *ms > 0.0).map(Time::from_millis_f64),
         }
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -25,7 +25,7 @@
         if !clock_ms.is_finite() || clock_ms < 0.0 {
             return Err(BatchError::InvalidClock { clock_ms });
         }
-        let now = Time::from_ms(clock_ms);
+        let now = Time::from_millis_f64(clock_ms);
         let mut reply = Reply { round: batch.round, parts: Vec::new() };
         for part in batch.parts {
             let instance = part.instance;
