--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -231,7 +231,7 @@
             }
             // Agents of this deployment have no way to talk to each other, and the settings say so.
             Action::Gossip { .. } => {}
-            Action::Notify(notice) => eprintln!("{}", describe(&notice)),
+            Action::Notify(notice) => eprintln!("{}", describe(notice)),
         }
     }
 
@@ -321,7 +321,7 @@
     }
 }
 
-fn describe(notice: &Notice) -> String {
+fn describe(notice: Notice) -> String {
     match notice {
         Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
             "server {} ejected ({reason}): latency ratio {:.2} of a fleet median of {:.2}",
