--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -103,7 +103,7 @@
         let endpoints = self.update_servers(&mut state, cached_endpoints);
         state.events.push_back(Event::Endpoints(EndpointUpdate::Cached(endpoints)));
         for action in actions {
-            self.carry_out(&mut state, action);
+            self.carry_out(&mut state, &action);
         }
         drop(state);
         self.handle_events();
@@ -196,13 +196,13 @@
         while let Some(event) = state.events.pop_front() {
             state.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(&mut state, action);
+                self.carry_out(&mut state, &action);
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
-        match action {
+    fn carry_out(self: &Rc<Self>, state: &mut State, action: &Action) {
+        match *action {
             Action::Send { request, server, timeout_at, write_by } => {
                 self.send(state, request, server, timeout_at, write_by);
             }
@@ -231,7 +231,7 @@
             }
             // Agents of this deployment have no way to talk to each other, and the settings say so.
             Action::Gossip { .. } => {}
-            Action::Notify(notice) => eprintln!("{}", describe(notice)),
+            Action::Notify(notice) => eprintln!("{}", describe(&notice)),
         }
     }
 
@@ -321,7 +321,7 @@
     }
 }
 
-fn describe(notice: Notice) -> String {
+fn describe(notice: &Notice) -> String {
     match notice {
         Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
             "server {} ejected ({reason}): latency ratio {:.2} of a fleet median of {:.2}",
