--- /dev/null
+++ b/crates/balancer-core/src/balancer/feedback.rs
@@ -0,0 +1,78 @@
+//! What is learned when an attempt ends, concern by concern.
+
+use super::Balancer;
+use crate::policy::concurrency::{min_limit, AnswerSample, LATE_RATIO};
+use crate::policy::feedback::{observed_ratio, NO_LOAD};
+use crate::policy::fleet::FleetView;
+use crate::policy::outlier::{find_outlier, is_relatively_slow, judge_probe, AttemptResult};
+use crate::policy::requests::{EndedAttempt, InFlightAttempt};
+use crate::policy::slow_start::capacity_share;
+use crate::units::LatencyRatio;
+use crate::Outcome;
+
+impl Balancer {
+    /// Learns from an ended attempt.
+    pub(super) fn learn(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt) {
+        let ratio = observed_ratio(&self.settings, &self.fleet[attempt.server], attempt, ended);
+        let shows_load = ratio > NO_LOAD;
+        if shows_load && !attempt.is_counted_slow {
+            self.admission.record(ratio, self.in_flight.len());
+        }
+        self.learn_outcome(attempt, ended.outcome, ratio);
+        if shows_load {
+            self.learn_latency(attempt, ended, ratio);
+        }
+        let result = AttemptResult { outcome: ended.outcome, ratio };
+        if attempt.is_probe {
+            let median = self.latency.median_ratio();
+            judge_probe(&mut self.fleet[attempt.server], result, median, self.now);
+            return;
+        }
+        self.forget_if_slow(attempt, ratio);
+        self.eject_if_outlier(attempt, result);
+    }
+
+    /// Records what an outcome shows of a server's health and of the link to its zone.
+    fn learn_outcome(&mut self, attempt: &InFlightAttempt, outcome: Outcome, ratio: LatencyRatio) {
+        let server = &mut self.fleet[attempt.server];
+        server.health.record(self.now, outcome);
+        server.suspicion.record(self.now, outcome, ratio >= LATE_RATIO);
+        self.suspicion.record_outcome(self.now, server.endpoint.zone, outcome);
+        if outcome == Outcome::Success {
+            self.latency.record_success(attempt.class, ratio, &mut server.latency);
+        }
+    }
+
+    /// Records what a latency shows of a server, its kind of machine, slow start and its concurrency limit.
+    fn learn_latency(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt, ratio: LatencyRatio) {
+        let server = &mut self.fleet[attempt.server];
+        let share = capacity_share(&self.settings, &server.endpoint, self.now);
+        self.slow_start.record_latency(share, ratio);
+        self.latency.record_sample(server.endpoint.machine_kind, ratio, &mut server.latency);
+        let sample =
+            AnswerSample { ratio, smoothed_ratio: server.latency.ratio(), other_in_flight: server.in_flight };
+        server.limit.record(&sample, min_limit(&self.settings));
+        server.limit.complete(self.now, ended.elapsed);
+        if ended.outcome == Outcome::Rejected {
+            let objective = self.settings.class(attempt.class).latency_objective;
+            server.limit.back_off(self.now, objective, self.latency.typical_ratio(attempt.class));
+        }
+    }
+
+    /// In a sparse view own counts do not show that a noisy neighbour slows a server, and it would stay
+    /// remembered.
+    fn forget_if_slow(&mut self, attempt: &InFlightAttempt, ratio: LatencyRatio) {
+        let is_slow = is_relatively_slow(ratio, self.latency.median_ratio());
+        if self.fleet.view() == FleetView::Sparse && is_slow {
+            self.router.forget(attempt.server);
+        }
+    }
+
+    fn eject_if_outlier(&mut self, attempt: &InFlightAttempt, result: AttemptResult) {
+        let server = &self.fleet[attempt.server];
+        let reason = find_outlier(server, result, self.latency.median_ratio(), self.fleet.view());
+        if let Some(reason) = reason {
+            self.eject(attempt.server, reason);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer-core/src/balancer/requests.rs
@@ -0,0 +1,142 @@
+//! The life of a request: accepted, sent or queued, retried, and given its one final answer.
+
+use super::Balancer;
+use crate::policy::deadline::retry_after;
+use crate::policy::requests::{ActiveRequest, AttemptState, EndedAttempt};
+use crate::policy::retry::{may_retry, AttemptPermission};
+use crate::policy::wait_queue::QueueFull;
+use crate::{Action, AttemptNumber, Outcome, Request, RequestId};
+
+impl Balancer {
+    /// Accepts a request: sends, queues or finishes it. One of an unknown class is rejected, and one whose id
+    /// is in use already is ignored.
+    pub(super) fn accept(&mut self, request: Request) {
+        let id = request.id;
+        if !self.settings.has_class(request.class) {
+            self.actions.push(Action::Reject { request: id, retry_after: None });
+            return;
+        }
+        if self.requests.contains_key(&id) {
+            return;
+        }
+        let active = self.activate(request);
+        let shed_order = self.shedder.order_of(&active);
+        let is_too_late = self.timeliness().cannot_be_in_time(&active);
+        self.requests.insert(id, active);
+        self.suspicion.earn_gossip();
+        self.retry_budget.earn();
+        if is_too_late || !self.admission.admits(shed_order, &self.shedder, &mut self.rng) {
+            self.finish(id);
+            return;
+        }
+        self.send_or_enqueue(id);
+    }
+
+    /// The record of a request that has just arrived.
+    fn activate(&mut self, request: Request) -> ActiveRequest {
+        let deadline = self.now + request.time_left;
+        let objective_left = self.objectives.objective_left(&self.settings, request.class, request.time_left);
+        self.shedder.count(self.now, &request);
+        let is_over_share = self.shedder.is_over_share(&self.settings, &request, &mut self.rng);
+        ActiveRequest {
+            request,
+            deadline,
+            objective_deadline: (self.now + objective_left).min(deadline),
+            attempts: Vec::new(),
+            is_bound_to_stream: false,
+            is_over_share,
+        }
+    }
+
+    /// A stream has begun: no other attempt can answer the request.
+    pub(super) fn bind_to_stream(&mut self, id: RequestId, attempt: AttemptNumber) {
+        if let Some(active) = self.requests.get_mut(&id) {
+            active.is_bound_to_stream = (attempt.0 as usize) < active.attempts.len();
+        }
+    }
+
+    /// Handles the end of an attempt: learns from it, and retries or finishes its request if that needs it.
+    pub(super) fn end_attempt(&mut self, ended: &EndedAttempt) {
+        let Some(attempt) = self.in_flight.remove(ended.key) else { return };
+        self.fleet[attempt.server].in_flight -= 1;
+        if let Some(report) = &ended.load_report {
+            self.record_load_report(attempt.server, report);
+        }
+        self.learn(&attempt, ended);
+        self.release_connections(attempt.server);
+        let request = ended.key.request;
+        if ended.is_request_finished {
+            self.requests.remove(&request);
+        } else if let Some(active) = self.requests.get_mut(&request) {
+            let has_not_run = ended.outcome.proves_not_run();
+            let state = if has_not_run { AttemptState::DidNotRun } else { AttemptState::MayHaveRun };
+            active.attempts[ended.key.attempt.0 as usize].state = state;
+            self.retry_or_finish(request, ended.outcome);
+        }
+        self.drain_queue();
+    }
+
+    /// Decides what follows a failed attempt of a request that is not answered yet.
+    fn retry_or_finish(&mut self, id: RequestId, outcome: Outcome) {
+        let active = &self.requests[&id];
+        if active.has_attempt_in_flight() {
+            return;
+        }
+        if !may_retry(active, outcome, &self.retry_budget, &self.timeliness()) {
+            self.finish(id);
+            return;
+        }
+        if !outcome.proves_not_run() {
+            self.retry_budget.pay();
+        }
+        self.send_or_enqueue(id);
+    }
+
+    fn send_or_enqueue(&mut self, id: RequestId) {
+        if !self.dispatch(id) {
+            self.enqueue(id);
+        }
+    }
+
+    /// Queues a request, or finishes it if the queue is full.
+    pub(super) fn enqueue(&mut self, id: RequestId) {
+        match self.queue.push(id) {
+            Ok(()) => self.schedule_tick_soon(),
+            Err(QueueFull) => self.finish(id),
+        }
+    }
+
+    /// Sends what is queued and can go, and gives up what can no longer be answered in time.
+    pub(super) fn drain_queue(&mut self) {
+        if self.queue.is_empty() {
+            return;
+        }
+        let mut queued = self.queue.take_by_rank(|id| {
+            let active = self.requests.get(&id)?;
+            Some((active.is_over_share, self.shedder.class_order(active.class())))
+        });
+        queued.retain(|&id| self.stays_queued(id));
+        self.queue.restore(queued);
+    }
+
+    /// Sends or gives up a queued request if it can be; true if it goes on waiting.
+    fn stays_queued(&mut self, id: RequestId) -> bool {
+        let Some(active) = self.requests.get(&id) else { return false };
+        if self.timeliness().has_waited_too_long(active) {
+            self.finish(id);
+            return false;
+        }
+        !self.dispatch(id)
+    }
+
+    /// Gives the final answer: a rejection if a retry is harmless to its effect, else a failure.
+    fn finish(&mut self, id: RequestId) {
+        let Some(active) = self.requests.remove(&id) else { return };
+        if AttemptPermission::of(&self.settings, &active, self.now).may_reject {
+            let retry_after = retry_after(&self.settings, active.class());
+            self.actions.push(Action::Reject { request: id, retry_after });
+        } else {
+            self.actions.push(Action::Fail { request: id });
+        }
+    }
+}
--- a/crates/balancer-core/src/balancer/tests.rs
+++ b/crates/balancer-core/src/balancer/tests.rs
@@ -2,7 +2,10 @@
 //! inherit.
 
 use super::*;
-use crate::{AttemptNumber, ClassId, Endpoint, EndpointStatus, MachineKindId, Request, RoutingKey, ZoneId};
+use crate::{
+    AttemptNumber, ClassId, Endpoint, EndpointStatus, EndpointUpdate, MachineKindId, Outcome, Request,
+    RoutingKey, ServerId, Span, ZoneId,
+};
 
 /// An endpoint in a zone and of a machine kind of its own.
 fn endpoint(id: u32, status: EndpointStatus) -> Endpoint {
@@ -62,10 +65,10 @@
         succeed(&mut balancer, now + Span::from_millis(20), id.into(), true);
     }
 
-    let mut sizes = balancer.registry.sizes().to_vec();
+    let mut sizes = balancer.fleet.sizes().to_vec();
     sizes.extend([
-        balancer.memory.key_count(),
-        balancer.zone_links.len(),
+        balancer.router.key_count(),
+        balancer.suspicion.failed_link_count(),
         balancer.latency.machine_kind_count(),
         balancer.requests.len(),
         balancer.in_flight.len(),
@@ -85,11 +88,11 @@
         now = now + Span::from_millis(5000);
         replace_server(&mut balancer, now, id);
     }
-    assert!(balancer.registry.find(ServerId(0)).is_some(), "an attempt is in flight");
+    assert!(balancer.fleet.find(ServerId(0)).is_some(), "an attempt is in flight");
 
     succeed(&mut balancer, now, 7, false);
 
-    assert!(balancer.registry.all_states().all(|server| server.in_flight == 0));
-    let newest = &balancer.registry[balancer.registry.find(ServerId(29)).expect("it is listed")];
-    assert_eq!((newest.latency.samples, newest.endpoint.server), (0, ServerId(29)));
+    assert!(balancer.fleet.all_states().all(|server| server.in_flight == 0));
+    let newest = &balancer.fleet[balancer.fleet.find(ServerId(29)).expect("it is listed")];
+    assert_eq!((newest.latency.samples(), newest.endpoint.server), (0, ServerId(29)));
 }
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -34,7 +34,6 @@
 mod notice;
 mod policy;
 mod settings;
-mod state;
 mod time;
 mod units;
 
--- a/crates/balancer-core/src/state/budget.rs
+++ b/crates/balancer-core/src/policy/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets that requests pay into and that extra work is paid from.
+//! A token bucket that requests fill and extra work empties.
 
 /// A token bucket that is filled by requests and not by time.
 pub struct Budget {
@@ -6,7 +6,7 @@
 }
 
 impl Budget {
-    /// A budget with something in it.
+    /// A budget with this balance.
     pub fn new(balance: f64) -> Self {
         Budget { balance }
     }
@@ -16,12 +16,12 @@
         self.balance
     }
 
-    /// Pays `amount` in; what would be over `max` is lost.
+    /// Pays `amount` in; a balance over `max` is cut to it.
     pub fn earn(&mut self, amount: f64, max: f64) {
         self.balance = (self.balance + amount).min(max);
     }
 
-    /// Takes `amount` out.
+    /// Pays `amount` out.
     pub fn spend(&mut self, amount: f64) {
         self.balance -= amount;
     }
--- a/crates/balancer-core/src/policy/concurrency/tests.rs
+++ b/crates/balancer-core/src/policy/concurrency/tests.rs
@@ -2,24 +2,34 @@
 
 use super::*;
 
-const NOW: Time = Time(1_000_000);
+const NOW: Time = Time::from_millis(1_000);
 const MIN_LIMIT: f64 = 0.05;
-const OBJECTIVE: Span = Span(100_000);
+const OBJECTIVE: Span = Span::from_millis(100);
+const UNSCALED: LimitScale = scale(1.0, 1.0);
+
+const fn scale(admission: f64, capacity_share: f64) -> LimitScale {
+    LimitScale { admission: Probability::new(admission), capacity_share: CapacityShare::new(capacity_share) }
+}
+
+fn sample(ratio: f64, other_in_flight: u32) -> AnswerSample {
+    let ratio = LatencyRatio::new(ratio);
+    AnswerSample { ratio, smoothed_ratio: ratio, other_in_flight }
+}
 
 /// Whether a server in good health has capacity beside `in_flight` requests.
 fn has_capacity_beside(limit: &ConcurrencyLimit, in_flight: u32) -> bool {
-    limit.has_capacity(NOW, in_flight, 1.0, 1.0)
+    limit.has_capacity(NOW, in_flight, &UNSCALED)
 }
 
 fn record_quick_answers(limit: &mut ConcurrencyLimit, count: u32, in_flight: u32) {
     for _ in 0..count {
-        limit.record(0.0, 0.0, in_flight, MIN_LIMIT);
+        limit.record(&sample(0.0, in_flight), MIN_LIMIT);
     }
 }
 
 fn record_late_answers(limit: &mut ConcurrencyLimit, count: u32, min_limit: f64) {
     for _ in 0..count {
-        limit.record(1.0, 1.0, 0, min_limit);
+        limit.record(&sample(1.0, 0), min_limit);
     }
 }
 
@@ -52,7 +62,7 @@
 
         // A limit below one is kept by a pause after each answer.
         let pause_ms = OBJECTIVE.as_millis_f64() * (1.0 / min_limit - 1.0);
-        let has_capacity_after = |ms| limit.has_capacity(NOW + Span::from_millis_f64(ms), 0, 1.0, 1.0);
+        let has_capacity_after = |ms| limit.has_capacity(NOW + Span::from_millis_f64(ms), 0, &UNSCALED);
         assert!(!has_capacity_after(pause_ms - 1.0), "minimum {min_limit}");
         assert!(has_capacity_after(pause_ms + 1.0), "minimum {min_limit}");
     }
@@ -74,7 +84,7 @@
     assert!(has_capacity_beside(&limit, 10));
 
     for _ in 0..100 {
-        limit.record(2.0 * TARGET_RATIO, 2.0 * TARGET_RATIO, 0, MIN_LIMIT);
+        limit.record(&sample(2.0 * TARGET_RATIO.value(), 0), MIN_LIMIT);
     }
 
     assert!(!has_capacity_beside(&limit, 10));
@@ -85,22 +95,22 @@
     let mut limit = ConcurrencyLimit::new(NOW);
     record_quick_answers(&mut limit, 1000, 2000);
 
-    assert!(limit.has_capacity(NOW, 6, 0.5, 1.0));
-    assert!(!limit.has_capacity(NOW, 7, 0.5, 1.0));
-    assert!(limit.has_capacity(NOW, 6, 1.0, 0.5));
-    assert!(!limit.has_capacity(NOW, 7, 1.0, 0.5));
-    assert!(limit.has_capacity(NOW, 0, 1.0, 0.001));
+    assert!(limit.has_capacity(NOW, 6, &scale(0.5, 1.0)));
+    assert!(!limit.has_capacity(NOW, 7, &scale(0.5, 1.0)));
+    assert!(limit.has_capacity(NOW, 6, &scale(1.0, 0.5)));
+    assert!(!limit.has_capacity(NOW, 7, &scale(1.0, 0.5)));
+    assert!(limit.has_capacity(NOW, 0, &scale(1.0, 0.001)));
 }
 
 #[test]
 fn full_server_is_left_alone_for_a_typical_latency() {
     let mut limit = ConcurrencyLimit::new(NOW);
 
-    limit.back_off(NOW, OBJECTIVE, 0.5);
+    limit.back_off(NOW, OBJECTIVE, LatencyRatio::new(0.5));
 
     let backoff_end = NOW + Span::from_millis(50);
-    assert!(limit.is_backing_off(backoff_end - Span(1)));
-    assert!(!limit.has_capacity(backoff_end - Span(1), 0, 1.0, 1.0));
+    assert!(limit.is_backing_off(backoff_end - Span::from_micros(1)));
+    assert!(!limit.has_capacity(backoff_end - Span::from_micros(1), 0, &UNSCALED));
     assert!(!limit.is_backing_off(backoff_end));
-    assert!(limit.has_capacity(backoff_end, 0, 1.0, 1.0));
+    assert!(limit.has_capacity(backoff_end, 0, &UNSCALED));
 }
--- a/crates/balancer-core/src/state/timeout/tests.rs
+++ b/crates/balancer-core/src/policy/deadline/usual_timeout/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-const TOLERANCE: Span = Span(1000);
-const USUAL: Span = Span(800_000);
-const NEW_HABIT: Span = Span(500_000);
+const TOLERANCE: Span = Span::from_millis(1);
+const USUAL: Span = Span::from_millis(800);
+const NEW_HABIT: Span = Span::from_millis(500);
 
 #[test]
 fn first_timeout_seen_is_the_usual_one() {
--- a/crates/balancer-core/src/state/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -1,27 +1,18 @@
-//! The servers that the endpoint list has named: adding, updating and forgetting them.
+//! The registry of servers: adding, updating and forgetting them as the endpoint list says.
 
 use super::server::ServerState;
+use super::view::FleetView;
 use crate::{Endpoint, EndpointStatus, MachineKindId, ServerId, Span, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// A removed server is remembered this long: one that a list leaves out by mistake soon comes back.
-const REMOVED_RETENTION: Span = Span(10_000_000);
+/// A removed server is remembered this long: one that a list leaves out by mistake soon returns.
+const REMOVED_RETENTION: Span = Span::from_secs(10);
 
 /// Position of a server in the registry; valid until the server is forgotten.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerIndex(usize);
 
-/// How much of the load of a server this balancer sees.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FleetView {
-    /// It meets each server often, so its own counts distinguish servers.
-    Dense,
-    /// Balancers outnumber servers: most of a server's load is other balancers', and own counts are nearly
-    /// all alike.
-    Sparse,
-}
-
 /// All servers that the balancer knows.
 pub struct ServerRegistry {
     servers: Vec<ServerState>,
@@ -29,11 +20,10 @@
     /// Positions whose server has been forgotten; nothing refers to them.
     free: Vec<ServerIndex>,
     /// Servers that the endpoint list says are serving.
-    pub serving: Vec<ServerIndex>,
+    serving: Vec<ServerIndex>,
     /// The most servers that were serving at a time. A fleet that shrinks for a while makes no view sparse.
     peak_serving: usize,
-    /// How much of a server's load this balancer sees.
-    pub view: FleetView,
+    view: FleetView,
 }
 
 impl ServerRegistry {
@@ -54,20 +44,33 @@
         self.by_id.get(&server).copied()
     }
 
+    /// The serving servers.
+    pub fn serving(&self) -> &[ServerIndex] {
+        &self.serving
+    }
+
     /// The states of the serving servers.
     pub fn serving_states(&self) -> impl Iterator<Item = &ServerState> {
         self.serving.iter().map(|&index| &self[index])
     }
 
-    /// Takes in entries of the endpoint list and returns the servers that run a new process. A complete list
-    /// removes what it leaves out.
+    /// How much of a server's load this balancer sees.
+    pub fn view(&self) -> FleetView {
+        self.view
+    }
+
+    /// Updates the entries of the endpoint list and returns the servers that run a new process. A complete
+    /// list removes what it leaves out.
     pub fn update(&mut self, now: Time, endpoints: Vec<Endpoint>, is_complete: bool) -> Vec<ServerIndex> {
         if is_complete {
             for server in &mut self.servers {
                 server.endpoint.status = EndpointStatus::Removed;
             }
         }
-        let restarted = endpoints.into_iter().filter_map(|endpoint| self.update_one(now, endpoint)).collect();
+        let mut restarted = Vec::new();
+        for endpoint in endpoints {
+            restarted.extend(self.update_one(now, endpoint));
+        }
         for server in &mut self.servers {
             let is_removed = server.endpoint.status == EndpointStatus::Removed;
             server.removed_at = is_removed.then(|| server.removed_at.unwrap_or(now));
@@ -75,7 +78,7 @@
         restarted
     }
 
-    /// Takes in one entry; returns the server if it runs a new process.
+    /// Updates one entry; returns the server if it runs a new process.
     fn update_one(&mut self, now: Time, endpoint: Endpoint) -> Option<ServerIndex> {
         let Some(index) = self.find(endpoint.server) else {
             self.add(ServerState::new(endpoint, now));
@@ -111,8 +114,7 @@
     /// Decides anew how much this balancer sees, as one of `balancer_count`.
     pub fn refresh_view(&mut self, balancer_count: u32) {
         self.peak_serving = self.peak_serving.max(self.serving.len());
-        let is_sparse = balancer_count as usize > self.peak_serving;
-        self.view = if is_sparse { FleetView::Sparse } else { FleetView::Dense };
+        self.view = FleetView::of(balancer_count, self.peak_serving);
     }
 
     /// Servers that were removed a while ago and have no own attempt in flight.
@@ -123,8 +125,8 @@
         self.by_id.values().copied().filter(|&index| is_old(&self[index])).collect()
     }
 
-    /// Forgets a server and frees its position. Nothing may refer to it any more, or a later server would
-    /// inherit what was meant for it.
+    /// Forgets a server and frees its position. Nothing may refer to it any more; otherwise what was meant for
+    /// it would reach the next server at its position.
     pub fn forget(&mut self, index: ServerIndex) {
         let id = self[index].endpoint.server;
         self.by_id.remove(&id);
--- a/crates/balancer-core/src/state/registry/tests.rs
+++ b/crates/balancer-core/src/policy/fleet/registry/tests.rs
@@ -1,10 +1,11 @@
 //! Tests of how the registry follows the endpoint list.
 
 use super::*;
+use crate::Outcome;
 
 const SERVER: ServerId = ServerId(1);
 const OTHER: ServerId = ServerId(2);
-const NOW: Time = Time(1_000_000);
+const NOW: Time = Time::from_millis(1_000);
 
 fn with_status(server: ServerId, status: EndpointStatus) -> Endpoint {
     Endpoint { status, ..Endpoint::serving(server) }
@@ -21,6 +22,12 @@
     registry.find(server).expect("it is known")
 }
 
+fn fail_twice(registry: &mut ServerRegistry, index: ServerIndex) {
+    for _ in 0..2 {
+        registry[index].health.record(NOW, Outcome::ServerError);
+    }
+}
+
 fn serving_ids(registry: &ServerRegistry) -> Vec<ServerId> {
     registry.serving_states().map(|server| server.endpoint.server).collect()
 }
@@ -65,16 +72,16 @@
     let mut registry = registry_with(&[SERVER]);
     let index = index_of(&registry, SERVER);
     registry[index].in_flight = 3;
-    registry[index].health.failures = 2;
+    fail_twice(&mut registry, index);
     let restarted = Endpoint { started_at: Some(NOW), ..Endpoint::serving(SERVER) };
 
     assert_eq!(registry.update(NOW, vec![restarted.clone()], false), [index]);
     assert_eq!(registry[index].in_flight, 3);
-    assert_eq!(registry[index].health.failures, 0);
+    assert_eq!(registry[index].health.failures(), 0);
 
-    registry[index].health.failures = 2;
+    fail_twice(&mut registry, index);
     assert_eq!(registry.update(NOW, vec![restarted], false), [], "the same process as before");
-    assert_eq!(registry[index].health.failures, 2);
+    assert_eq!(registry[index].health.failures(), 2);
 }
 
 #[test]
@@ -84,7 +91,7 @@
     registry.update(NOW, Vec::new(), true);
     let retained_until = NOW + Span::from_millis(10_000);
 
-    assert_eq!(registry.removed_long_ago(retained_until - Span(1)), []);
+    assert_eq!(registry.removed_long_ago(retained_until - Span::from_micros(1)), []);
     assert_eq!(registry.removed_long_ago(retained_until), [index]);
 
     registry[index].in_flight = 1;
--- a/crates/balancer-core/src/state/latency/tests.rs
+++ b/crates/balancer-core/src/policy/latency/tests.rs
@@ -3,19 +3,28 @@
 use super::*;
 use crate::{RequestClass, Span};
 
+const CLASS: ClassId = ClassId(0);
+
 const KIND: MachineKindId = MachineKindId(1);
 
 fn assert_close(value: f64, expected: f64) {
     assert!((value - expected).abs() < 1e-9, "{value} instead of {expected}");
 }
 
+/// Recomputes the median from servers that have answered with these ratios.
+fn refresh_median(fleet: &mut FleetLatency, ratios: &[f64]) {
+    let servers: Vec<ServerLatency> =
+        ratios.iter().map(|&ratio| ServerLatency::restarted(LatencyRatio::new(ratio))).collect();
+    fleet.refresh_median(servers.iter());
+}
+
 #[test]
 fn relative_slowness_has_a_floor_of_a_twentieth() {
     let mut fleet = FleetLatency::new(1);
     let mut server = ServerLatency::default();
 
     for _ in 0..1000 {
-        fleet.record_success(0, 0.0, &mut server);
+        fleet.record_success(CLASS, LatencyRatio::new(0.0), &mut server);
         assert!(server.relative_slowness >= 0.05, "{}", server.relative_slowness);
     }
 
@@ -28,7 +37,7 @@
 
     for _ in 0..5000 {
         // A fleet of its own for each sample, so that what is typical does not follow.
-        FleetLatency::new(1).record_success(0, 1e9, &mut server);
+        FleetLatency::new(1).record_success(CLASS, LatencyRatio::new(1e9), &mut server);
         assert!(server.relative_slowness <= 8.0, "{}", server.relative_slowness);
     }
 
@@ -39,9 +48,9 @@
 fn success_moves_the_latency_of_its_class_only() {
     let mut fleet = FleetLatency::new(2);
 
-    fleet.record_success(1, 0.7, &mut ServerLatency::default());
+    fleet.record_success(ClassId(1), LatencyRatio::new(0.7), &mut ServerLatency::default());
 
-    assert_eq!(fleet.classes[0].current_ratio, INITIAL_RATIO);
+    assert_eq!(fleet.current_ratio(CLASS), INITIAL_RATIO);
     assert_close(fleet.classes[1].current_ratio, 0.2 + 0.12 * 0.5);
     assert_close(fleet.classes[1].typical_ratio, 0.2 + 0.01 * 0.5);
 }
@@ -51,10 +60,10 @@
     let mut fleet = FleetLatency::new(1);
     let mut server = ServerLatency::default();
 
-    fleet.record_sample(KIND, 0.5, &mut server);
+    fleet.record_sample(KIND, LatencyRatio::new(0.5), &mut server);
     assert_eq!((server.ratio, server.samples), (0.5, 1));
 
-    fleet.record_sample(KIND, 1.0, &mut server);
+    fleet.record_sample(KIND, LatencyRatio::new(1.0), &mut server);
     assert_close(server.ratio, 0.5 + 0.12 * 0.5);
     assert_eq!(server.samples, 2);
 }
@@ -62,18 +71,18 @@
 #[test]
 fn server_of_an_unknown_kind_is_expected_to_be_like_the_median() {
     let mut fleet = FleetLatency::new(1);
-    fleet.refresh_median([0.3, 0.4, 0.9].into_iter());
+    refresh_median(&mut fleet, &[0.3, 0.4, 0.9]);
 
-    assert_close(fleet.expected_ratio(KIND, &ServerLatency::default()), 0.4);
+    assert_close(fleet.expected_ratio(KIND, &ServerLatency::default()).value(), 0.4);
 }
 
 #[test]
 fn server_without_samples_is_expected_to_be_like_its_kind() {
     let mut fleet = FleetLatency::new(1);
-    fleet.record_sample(KIND, 0.6, &mut ServerLatency::default());
+    fleet.record_sample(KIND, LatencyRatio::new(0.6), &mut ServerLatency::default());
 
     // The median that the kind began with counts as one sample.
-    assert_close(fleet.expected_ratio(KIND, &ServerLatency::default()), 0.4);
+    assert_close(fleet.expected_ratio(KIND, &ServerLatency::default()).value(), 0.4);
 }
 
 #[test]
@@ -81,28 +90,28 @@
     let fleet = FleetLatency::new(1);
     let server = |samples| ServerLatency { ratio: 0.8, samples, relative_slowness: 1.0 };
 
-    assert_close(fleet.expected_ratio(KIND, &server(4)), 0.5 * 0.2 + 0.5 * 0.8);
-    assert_close(fleet.expected_ratio(KIND, &server(8)), (0.2 + 2.0 * 0.8) / 3.0);
-    assert_close(fleet.expected_ratio(KIND, &server(500)), (0.2 + 2.0 * 0.8) / 3.0);
+    assert_close(fleet.expected_ratio(KIND, &server(4)).value(), 0.5 * 0.2 + 0.5 * 0.8);
+    assert_close(fleet.expected_ratio(KIND, &server(8)).value(), (0.2 + 2.0 * 0.8) / 3.0);
+    assert_close(fleet.expected_ratio(KIND, &server(500)).value(), (0.2 + 2.0 * 0.8) / 3.0);
 }
 
 #[test]
 fn expected_ratio_and_median_are_at_least_a_hundredth() {
     let mut fleet = FleetLatency::new(1);
 
-    fleet.refresh_median([0.0].into_iter());
+    refresh_median(&mut fleet, &[0.0]);
 
     assert_eq!(fleet.median_ratio, 0.01);
     let quick = ServerLatency { ratio: 0.0, samples: 100, relative_slowness: 1.0 };
-    assert_eq!(fleet.expected_ratio(KIND, &quick), 0.01);
+    assert_eq!(fleet.expected_ratio(KIND, &quick).value(), 0.01);
 }
 
 #[test]
 fn median_stays_without_answers() {
     let mut fleet = FleetLatency::new(1);
-    fleet.refresh_median([0.7].into_iter());
+    refresh_median(&mut fleet, &[0.7]);
 
-    fleet.refresh_median(std::iter::empty());
+    refresh_median(&mut fleet, &[]);
 
     assert_eq!(fleet.median_ratio, 0.7);
 }
@@ -112,7 +121,7 @@
     let class = RequestClass { latency_objective: Span::from_millis(200), ..RequestClass::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
 
-    assert_close(FleetLatency::new(1).typical_latency_ms(&settings, 0), 40.0);
+    assert_close(FleetLatency::new(1).typical_latency_ms(&settings, CLASS), 40.0);
 }
 
 #[test]
@@ -120,7 +129,7 @@
     let mut fleet = FleetLatency::new(1);
     fleet.classes[0].typical_ratio = 0.0;
 
-    assert_close(fleet.typical_latency_ms(&Settings::default(), 0), 0.001);
+    assert_close(fleet.typical_latency_ms(&Settings::default(), CLASS), 0.001);
 }
 
 #[test]
@@ -129,7 +138,7 @@
     fleet.classes[0].typical_ratio = 0.0001;
     let mut server = ServerLatency::default();
 
-    fleet.record_success(0, 0.0008, &mut server);
+    fleet.record_success(CLASS, LatencyRatio::new(0.0008), &mut server);
 
     // From 1.0 towards 0.0008 / 0.001 by the gain of a typical value.
     assert_close(server.relative_slowness, 1.0 - 0.04 * 0.2);
@@ -138,12 +147,15 @@
 #[test]
 fn unknown_machine_kinds_are_forgotten() {
     let mut fleet = FleetLatency::new(1);
-    fleet.record_sample(KIND, 0.6, &mut ServerLatency::default());
-    fleet.record_sample(MachineKindId(2), 0.6, &mut ServerLatency::default());
+    fleet.record_sample(KIND, LatencyRatio::new(0.6), &mut ServerLatency::default());
+    fleet.record_sample(MachineKindId(2), LatencyRatio::new(0.6), &mut ServerLatency::default());
     assert_eq!(fleet.machine_kind_count(), 2);
 
     fleet.retain_machine_kinds(&BTreeSet::from([KIND]));
 
     assert_eq!(fleet.machine_kind_count(), 1);
-    assert_close(fleet.expected_ratio(MachineKindId(2), &ServerLatency::default()), INITIAL_RATIO);
+    assert_close(
+        fleet.expected_ratio(MachineKindId(2), &ServerLatency::default()).value(),
+        INITIAL_RATIO.value(),
+    );
 }
--- a/crates/balancer-core/src/policy/ejection.rs
+++ b/crates/balancer-core/src/policy/outlier/ejection.rs
@@ -2,9 +2,11 @@
 
 use crate::{Span, Time};
 
-/// First and longest interval between two probes of an ejected server, and its growth with each failed one.
-const MIN_PROBE_INTERVAL: Span = Span(250_000);
-const MAX_PROBE_INTERVAL: Span = Span(4_000_000);
+/// First interval between an ejection and its probe.
+const MIN_PROBE_INTERVAL: Span = Span::from_millis(250);
+/// Longest interval between two probes.
+const MAX_PROBE_INTERVAL: Span = Span::from_secs(4);
+/// Growth of the interval with each failed probe.
 const PROBE_BACKOFF: f64 = 2.0;
 /// Any request may probe a server that no idempotent one has probed for this many further intervals.
 const UNSAFE_PROBE_INTERVALS: f64 = 2.0;
@@ -29,12 +31,12 @@
         !self.is_probing && now >= self.next_probe + wait
     }
 
-    /// A probe is on its way.
+    /// Notes that a probe is in flight.
     pub fn start_probe(&mut self) {
         self.is_probing = true;
     }
 
-    /// A probe has failed: the next one comes later.
+    /// Notes that the probe has failed: the next one comes later.
     pub fn fail_probe(&mut self, now: Time) {
         let interval = (self.interval * PROBE_BACKOFF).min(MAX_PROBE_INTERVAL);
         *self = Ejection { next_probe: now + interval, interval, is_probing: false };
--- /dev/null
+++ b/crates/balancer-core/src/policy/requests.rs
@@ -0,0 +1,7 @@
+//! Records of accepted requests and of their attempts. Nothing is decided here.
+
+mod active_request;
+mod attempts_in_flight;
+
+pub use active_request::{ActiveRequest, Attempt, AttemptState};
+pub use attempts_in_flight::{AttemptKey, AttemptsInFlight, EndedAttempt, InFlightAttempt};
--- /dev/null
+++ b/crates/balancer-core/src/policy/retry/decision.rs
@@ -0,0 +1,37 @@
+//! Whether a request is retried.
+
+use super::budget::RetryBudget;
+use super::permission::{AttemptPermission, RetryScope};
+use crate::policy::deadline::Timeliness;
+use crate::policy::requests::{ActiveRequest, AttemptKey};
+use crate::{Effect, Outcome};
+
+/// Whether a request whose attempt ended without an answer is sent again: the rules permit it, the budget
+/// pays for it unless it certainly did not run, and it can be answered in time.
+pub fn may_retry(
+    active: &ActiveRequest,
+    outcome: Outcome,
+    budget: &RetryBudget,
+    timeliness: &Timeliness<'_>,
+) -> bool {
+    let permission = AttemptPermission::of(timeliness.settings, active, timeliness.now);
+    let is_permitted = permission.scope != RetryScope::Nowhere;
+    let is_paid_for = outcome.proves_not_run() || budget.can_pay();
+    is_permitted && is_paid_for && !timeliness.cannot_be_in_time(active)
+}
+
+/// Whether an overdue attempt is cancelled so that its request is retried elsewhere: the attempt is the
+/// request's last one, and a retry is permitted, paid for and can be in time.
+pub fn may_cancel_and_retry(
+    active: &ActiveRequest,
+    attempt: AttemptKey,
+    budget: &RetryBudget,
+    timeliness: &Timeliness<'_>,
+) -> bool {
+    let settings = timeliness.settings;
+    let is_repeatable = settings.class(active.class()).effect != Effect::AtMostOnce;
+    let is_last_attempt = attempt.attempt.0 as usize + 1 == active.attempts.len();
+    let has_attempts_left = active.attempts.len() < settings.max_attempts as usize;
+    let is_permitted = is_repeatable && is_last_attempt && has_attempts_left && settings.allows_cancel;
+    is_permitted && budget.can_pay() && !timeliness.cannot_be_in_time(active)
+}
--- a/crates/balancer-core/src/policy/retry/tests.rs
+++ b/crates/balancer-core/src/policy/retry/permission/tests.rs
@@ -1,12 +1,11 @@
 //! What the rules permit for a request, condition by condition.
 
 use super::*;
-use crate::state::Attempt;
-use crate::state::ServerRegistry;
+use crate::policy::fleet::ServerRegistry;
 use crate::{ClassId, Endpoint, Request, RequestClass, RequestId, ServerId, Span};
 
-const NOW: Time = Time(1_000_000);
-const DEADLINE: Time = Time(2_000_000);
+const NOW: Time = Time::from_millis(1_000);
+const DEADLINE: Time = Time::from_millis(2_000);
 const ZONE: ZoneId = ZoneId(3);
 const CELL: CellId = CellId(4);
 
@@ -89,7 +88,7 @@
         let settings = settings(Effect::Deduplicated { scope, window });
 
         let in_window = AttemptPermission::of(&settings, &active, NOW + window);
-        let past_window = AttemptPermission::of(&settings, &active, NOW + window + Span(1));
+        let past_window = AttemptPermission::of(&settings, &active, NOW + window + Span::from_micros(1));
 
         assert_eq!((in_window.scope, in_window.write_by), (expected, Some(NOW + window)));
         assert_eq!(past_window.scope, RetryScope::Nowhere);
--- /dev/null
+++ b/crates/balancer-core/src/policy/routing/eligibility.rs
@@ -0,0 +1,50 @@
+//! Which servers are open to a request.
+
+use super::context::RoutingContext;
+use super::request::RoutingRequest;
+use crate::policy::concurrency::LimitScale;
+use crate::policy::fleet::{FleetView, ServerIndex, ServerState};
+use crate::policy::retry::RetryScope;
+use crate::Effect;
+
+impl RoutingContext<'_> {
+    /// Whether a server may be sent this request now.
+    pub fn is_open(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
+        let server = &self.fleet[index];
+        if !is_in_scope(server, request.permission.scope) || !server.endpoint.is_serving() {
+            return false;
+        }
+        match self.view() {
+            FleetView::Dense => self.is_open_in_dense_view(server, request),
+            FleetView::Sparse => !server.limit.is_backing_off(self.now),
+        }
+    }
+
+    /// Whether a server is open to this request, and none of its attempts went there before.
+    pub fn is_open_and_untried(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
+        !request.has_tried(index) && self.is_open(index, request)
+    }
+
+    /// Ejection, slow start and the concurrency limit decide.
+    fn is_open_in_dense_view(&self, server: &ServerState, request: &RoutingRequest) -> bool {
+        let is_idempotent = self.settings.class(request.class).effect == Effect::Idempotent;
+        if !server.health.allows_request(self.now, is_idempotent) {
+            return false;
+        }
+        let capacity_share = self.capacity_share(server);
+        if self.slow_start.exceeds_share(&server.warm_up_work, capacity_share, request.work, self.now) {
+            return false;
+        }
+        let scale = LimitScale { admission: self.admission, capacity_share };
+        server.limit.has_capacity(self.now, server.in_flight, &scale)
+    }
+}
+
+fn is_in_scope(server: &ServerState, scope: RetryScope) -> bool {
+    match scope {
+        RetryScope::Nowhere => false,
+        RetryScope::Anywhere => true,
+        RetryScope::Zone(zone) => server.endpoint.zone == zone,
+        RetryScope::Cell(cell) => server.endpoint.cell == cell,
+    }
+}
--- a/crates/balancer-core/src/state/memory.rs
+++ b/crates/balancer-core/src/policy/routing/memory.rs
@@ -1,6 +1,6 @@
-//! The memory of the routing rule: the servers that were lightest, and the server of each routing key.
+//! The memory of the routing rule: the servers that were chosen last, and the server of each routing key.
 
-use super::registry::ServerIndex;
+use crate::policy::fleet::ServerIndex;
 use crate::RoutingKey;
 use std::collections::BTreeMap;
 
--- a/crates/balancer-core/src/state/memory/tests.rs
+++ b/crates/balancer-core/src/policy/routing/memory/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of the remembered servers and routing keys.
 
-use super::super::registry::ServerRegistry;
 use super::*;
+use crate::policy::fleet::ServerRegistry;
 use crate::{Endpoint, ServerId, Time};
 
 /// Indices of three servers.
 fn three_servers() -> [ServerIndex; 3] {
     let mut registry = ServerRegistry::new();
     let ids = [0, 1, 2].map(ServerId);
-    registry.update(Time(0), ids.map(Endpoint::serving).to_vec(), true);
+    registry.update(Time::EPOCH, ids.map(Endpoint::serving).to_vec(), true);
     ids.map(|id| registry.find(id).expect("just added"))
 }
 
--- a/crates/balancer-core/src/state/load_report.rs
+++ b/crates/balancer-core/src/policy/server_load/reported_load.rs
@@ -1,5 +1,6 @@
-//! What load reports say of servers.
+//! What load reports say of one server.
 
+use crate::policy::smoothing::decay_factor;
 use crate::Time;
 
 /// The load of a server by its last report, and own sends since.
@@ -11,12 +12,12 @@
 }
 
 impl ReportedLoad {
-    /// A report that has just come.
+    /// A report that has arrived now.
     pub fn new(load: f64, now: Time) -> Self {
         ReportedLoad { load, reported_at: Some(now), sends_since: 0 }
     }
 
-    /// Takes in that the server is sent an attempt.
+    /// Notes that the server is sent an attempt.
     pub fn record_send(&mut self) {
         self.sends_since += 1;
     }
@@ -28,13 +29,16 @@
 
     /// The reported load and what was sent since; zero without a report.
     pub fn known(&self) -> f64 {
-        self.reported_at.map_or(0.0, |_| self.load + f64::from(self.sends_since))
+        if self.reported_at.is_none() {
+            return 0.0;
+        }
+        self.load + f64::from(self.sends_since)
     }
 
-    /// The load to expect now: a report loses its weight over `decay_ms` milliseconds, and what is not known
-    /// is as in `mean_load`.
+    /// The load to expect now: a report loses its weight over `decay_ms` milliseconds, and `mean_load` makes
+    /// up the rest.
     pub fn expected(&self, now: Time, decay_ms: f64, mean_load: f64) -> f64 {
-        let weight = self.reported_at.map_or(0.0, |at| (-now.since(at).as_millis_f64() / decay_ms).exp());
+        let weight = self.reported_at.map_or(0.0, |at| decay_factor(now.since(at), decay_ms));
         weight * (self.load + f64::from(self.sends_since)) + (1.0 - weight) * mean_load
     }
 }
--- a/crates/balancer-core/src/state/load_report/tests.rs
+++ b/crates/balancer-core/src/policy/server_load/reported_load/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const NOW: Time = Time(1_000_000);
+const NOW: Time = Time::from_millis(1_000);
 const DECAY_MS: f64 = 100.0;
 const MEAN_LOAD: f64 = 2.0;
 
@@ -30,7 +30,7 @@
 fn report_loses_its_weight_with_time() {
     let reported = ReportedLoad::new(5.0, NOW);
 
-    let expected = reported.expected(Time(1_100_000), DECAY_MS, MEAN_LOAD);
+    let expected = reported.expected(Time::from_millis(1_100), DECAY_MS, MEAN_LOAD);
 
     let weight = 1.0 / std::f64::consts::E;
     assert!((expected - (MEAN_LOAD + weight * (5.0 - MEAN_LOAD))).abs() < 1e-9, "{expected}");
@@ -38,7 +38,7 @@
 
 #[test]
 fn report_counts_since_its_own_time() {
-    assert!(!ReportedLoad::default().is_reported_since(Time(0)));
+    assert!(!ReportedLoad::default().is_reported_since(Time::EPOCH));
 
     let reported = ReportedLoad::new(5.0, NOW);
     assert!(reported.is_reported_since(NOW));
--- a/crates/balancer-core/src/policy/slow_start.rs
+++ b/crates/balancer-core/src/policy/slow_start.rs
@@ -1,48 +1,131 @@
-//! Slow start: a server that has just started is sent no more than it surely has capacity for, so that the
-//! sum of all balancers cannot overload it. Balancers need no coordination: each keeps to its own part.
+//! Slow start: a server that has just started is sent no more than it is known to have capacity for, so that
+//! the sum of all balancers cannot overload it. Balancers need no coordination: each keeps to its own part.
+//!
+//! In a dense view a server that is warming up gets its capacity share of the work that warm servers were sent
+//! lately ([`SlowStart::exceeds_share`]). In a sparse view it becomes a candidate only with the probability of
+//! that share ([`SlowStart::admits_candidate`]).
 
-use super::routing::MAX_CANDIDATES;
-use crate::state::{ServerIndex, ServerState, WarmUp};
-use crate::Balancer;
+use super::latency::INITIAL_RATIO;
+use super::smoothing::{update_recent_average, DecayingSum};
+use crate::units::{CapacityShare, LatencyRatio, Work};
+use crate::{Endpoint, Settings, Time};
 
-/// The share of the load that makes a server fail that it is sent at most.
+/// The part of the load that makes a server fail that it is sent at most.
 const SAFE_OVERLOAD_PART: f64 = 0.5;
 /// Work sent is counted over this part of the window in which too much of it makes a server fail.
 const WORK_WINDOW_PART: f64 = 0.5;
 
-impl Balancer {
-    /// The share of its capacity that a server surely has.
-    pub(crate) fn capacity_share(&self, server: &ServerState) -> f64 {
-        WarmUp::capacity_share(&self.settings, &server.endpoint, self.now)
+/// Work that one server was sent lately while it was warming up, in milliseconds.
+#[derive(Default)]
+pub struct WarmUpWork {
+    sum: DecayingSum,
+}
+
+/// How servers that are warming up compare with warm ones.
+pub struct SlowStart {
+    /// Serving servers that are warm.
+    warm_servers: usize,
+    /// Work that each warm server was sent lately, on average, in milliseconds.
+    work_per_warm_server: DecayingSum,
+    warming_up_ratio: f64,
+    warm_ratio: f64,
+}
+
+/// The share of its capacity that a server is known to have: it grows evenly over the longest time that
+/// warming up takes (WIRE page, section 5, `coldShare` and `warmAfterMs`).
+pub fn capacity_share(settings: &Settings, endpoint: &Endpoint, now: Time) -> CapacityShare {
+    let Some(started_at) = endpoint.started_at else { return CapacityShare::FULL };
+    let age_ms = now.since(started_at).as_millis_f64();
+    let warm_up_ms = settings.warm_up_time.as_millis_f64();
+    if age_ms >= warm_up_ms {
+        return CapacityShare::FULL;
+    }
+    let initial = settings.initial_capacity.min(1.0);
+    CapacityShare::new(initial + (1.0 - initial) * age_ms / warm_up_ms)
+}
+
+impl SlowStart {
+    /// What is assumed before anything has been sent.
+    pub fn new() -> Self {
+        SlowStart {
+            warm_servers: 0,
+            work_per_warm_server: DecayingSum::default(),
+            warming_up_ratio: INITIAL_RATIO.value(),
+            warm_ratio: INITIAL_RATIO.value(),
+        }
+    }
+
+    /// Counts the warm ones among the serving servers.
+    pub fn count_warm_servers(&mut self, serving: &[CapacityShare]) {
+        self.warm_servers = serving.iter().filter(|share| share.is_full()).count();
     }
 
-    /// Takes in that a server is sent work.
-    pub(crate) fn record_work(&mut self, index: ServerIndex, work: f64) {
-        let decay_ms = WORK_WINDOW_PART * self.settings.overload_window.as_millis_f64();
-        if self.capacity_share(&self.registry[index]) < 1.0 {
-            self.registry[index].warm_up_work.add(self.now, decay_ms, work);
+    /// Records the latency of a server with this share of its capacity.
+    pub fn record_latency(&mut self, share: CapacityShare, ratio: LatencyRatio) {
+        let average = if share.is_full() { &mut self.warm_ratio } else { &mut self.warming_up_ratio };
+        update_recent_average(average, ratio.value());
+    }
+
+    /// Records that a server with this share of its capacity is sent work.
+    pub fn record_work(
+        &mut self,
+        settings: &Settings,
+        server: &mut WarmUpWork,
+        share: CapacityShare,
+        work: Work,
+        now: Time,
+    ) {
+        let decay_ms = WORK_WINDOW_PART * settings.overload_window.as_millis_f64();
+        if share.is_full() {
+            self.record_warm_work(now, decay_ms, work);
         } else {
-            self.warm_up.record_warm_work(self.now, decay_ms, work);
+            server.sum.add(now, decay_ms, work.as_millis_f64());
+        }
+    }
+
+    fn record_warm_work(&mut self, now: Time, decay_ms: f64, work: Work) {
+        let part = work.as_millis_f64() / self.warm_servers.max(1) as f64;
+        self.work_per_warm_server.add(now, decay_ms, part);
+    }
+
+    /// Work that each warm server was sent lately, on average, in milliseconds.
+    fn work_per_warm_server(&self, now: Time) -> f64 {
+        self.work_per_warm_server.value_at(now)
+    }
+
+    /// Whether this work would take a server past its share of what warm servers were sent lately. With this
+    /// limit the sum of all balancers cannot overload it while the warm ones are limited too.
+    pub fn exceeds_share(&self, server: &WarmUpWork, share: CapacityShare, work: Work, now: Time) -> bool {
+        if share.is_full() || self.warm_servers == 0 {
+            return false;
         }
+        let allowed_work = share.value() * self.work_per_warm_server(now);
+        server.sum.value_at(now) + work.as_millis_f64() > allowed_work
     }
 
-    /// Whether this work would take a server past its share of what warm servers were sent lately. So the sum
-    /// of all balancers cannot overload it while the warm ones are limited.
-    pub(crate) fn exceeds_share(&self, server: &ServerState, capacity_share: f64, work: f64) -> bool {
-        let share = capacity_share * self.warm_up.work_per_warm_server(self.now);
-        let has_warm_servers = self.warm_up.warm_servers > 0;
-        capacity_share < 1.0 && has_warm_servers && server.warm_up_work.value_at(self.now) + work > share
+    /// Whether a server with this share of its capacity may be a candidate now. In a sparse view a server that
+    /// is warming up is empty in the eyes of all balancers, and their sum would overload it. Each admits it
+    /// only as often as the part of a warm server's share that it may get: what it is known to have capacity
+    /// for, and more while servers that are warming up answer sooner than warm ones. Where the emptiest
+    /// candidate wins, it wins over `competitors` at once, and the probability is divided by them.
+    pub fn admits_candidate(
+        &self,
+        settings: &Settings,
+        share: CapacityShare,
+        competitors: usize,
+        rng: &mut fastrand::Rng,
+    ) -> bool {
+        let max_factor = (SAFE_OVERLOAD_PART * settings.overload_factor).max(1.0);
+        let factor = self.relative_speed().clamp(1.0, max_factor);
+        let allowed_share = (share.value() * factor).min(1.0);
+        allowed_share >= 1.0 || rng.f64() * (competitors as f64) < allowed_share
     }
 
-    /// In a sparse view, a server that is warming up, empty and remembered by all, would be overloaded by the
-    /// sum of all balancers. Each lets it be a candidate only as often as the part of a warm server's share
-    /// that it may get: what it surely has capacity for, and more while servers that are warming up answer
-    /// sooner than warm ones. Where an empty server wins the choice, it counts for all that it wins over.
-    pub(crate) fn passes_slow_start(&mut self, index: ServerIndex) -> bool {
-        let max_factor = (SAFE_OVERLOAD_PART * self.settings.overload_factor).max(1.0);
-        let factor = self.warm_up.relative_speed().clamp(1.0, max_factor);
-        let share = (self.capacity_share(&self.registry[index]) * factor).min(1.0);
-        let wins_over = if self.polls_loads() { MAX_CANDIDATES } else { 1 };
-        !self.is_sparse() || share >= 1.0 || self.rng.f64() * (wins_over as f64) < share
+    /// How much sooner servers that are warming up answer than warm ones: 2 is half the latency.
+    fn relative_speed(&self) -> f64 {
+        self.warm_ratio / self.warming_up_ratio
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/state/zone_links/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/zone_links/tests.rs
@@ -4,8 +4,8 @@
 
 const ZONE: ZoneId = ZoneId(1);
 const OTHER: ZoneId = ZoneId(2);
-const NOW: Time = Time(1_000_000);
-const CUT_UNTIL: Time = Time(2_000_000);
+const NOW: Time = Time::from_millis(1_000);
+const CUT_UNTIL: Time = Time::from_millis(2_000);
 
 #[test]
 fn failures_in_a_row_are_counted_by_zone() {
--- a/crates/balancer-core/src/policy/wait_queue.rs
+++ b/crates/balancer-core/src/policy/wait_queue.rs
@@ -1,39 +1,48 @@
 //! The local queue of requests that no server is open to.
 
-use crate::{Balancer, RequestId};
+use crate::RequestId;
 
 /// Longest queue, in requests.
-const MAX_QUEUED: usize = 500;
+const MAX_LENGTH: usize = 500;
 
-impl Balancer {
-    /// Queues a request, or finishes it if the queue is full.
-    pub(crate) fn enqueue(&mut self, id: RequestId) {
-        if self.queue.len() >= MAX_QUEUED {
-            return self.finish(id);
-        }
-        self.queue.insert(0, id);
-        self.tick_soon();
+/// The queue takes no more requests.
+#[derive(Debug)]
+pub struct QueueFull;
+
+/// Queued requests, newest first. Oldest first would let every request wait until it is nearly too late.
+#[derive(Default)]
+pub struct WaitQueue {
+    requests: Vec<RequestId>,
+}
+
+impl WaitQueue {
+    /// Whether no request is queued.
+    pub fn is_empty(&self) -> bool {
+        self.requests.is_empty()
     }
 
-    /// Sends what is queued and can go, newest first within each rank, and gives up what can no longer be
-    /// answered in time. Oldest first would let every request wait until it is nearly too late.
-    pub(crate) fn drain_queue(&mut self) {
-        if self.queue.is_empty() {
-            return;
+    /// Adds a request.
+    ///
+    /// # Errors
+    ///
+    /// If the queue is full.
+    pub fn push(&mut self, request: RequestId) -> Result<(), QueueFull> {
+        if self.requests.len() >= MAX_LENGTH {
+            return Err(QueueFull);
         }
-        let mut queue = std::mem::take(&mut self.queue);
-        queue.sort_by_cached_key(|id| {
-            let active = self.requests.get(id)?;
-            Some((active.is_over_share, self.class_order[active.class()]))
-        });
-        queue.retain(|&id| {
-            let Some(active) = self.requests.get(&id) else { return false };
-            if self.has_waited_too_long(active) {
-                self.finish(id);
-                return false;
-            }
-            !self.dispatch(id)
-        });
-        self.queue = queue;
+        self.requests.insert(0, request);
+        Ok(())
+    }
+
+    /// Empties the queue; its requests come by rank, newest first within each rank.
+    pub fn take_by_rank<R: Ord>(&mut self, rank: impl Fn(RequestId) -> R) -> Vec<RequestId> {
+        let mut requests = std::mem::take(&mut self.requests);
+        requests.sort_by_cached_key(|&request| rank(request));
+        requests
+    }
+
+    /// Puts back what is left of the requests that were taken, in their order.
+    pub fn restore(&mut self, requests: Vec<RequestId>) {
+        self.requests = requests;
     }
 }
--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -2,12 +2,13 @@
 
 use crate::{Span, Time};
 
-/// First pause before a broken watch is opened again, and its growth with each failure.
-const MIN_BACKOFF: Span = Span(200_000);
+/// First delay before a broken watch is opened again.
+const MIN_BACKOFF: Span = Span::from_millis(200);
+/// Growth of the delay with each failure.
 const BACKOFF_FACTOR: f64 = 2.0;
-/// The longest pause is this part of the interval at which the list must be asked for.
+/// The longest delay is this part of the interval at which the list must be asked for.
 const MAX_BACKOFF_PART: f64 = 0.25;
-/// A pause is spread between this part of itself and one more.
+/// Jitter multiplies a delay by a random factor between this and one more.
 const MIN_JITTER: f64 = 0.5;
 
 /// When a broken watch is opened again.
@@ -22,7 +23,7 @@
         WatchRetry { backoff: MIN_BACKOFF, retry_at: None }
     }
 
-    /// Schedules the next try after a failure.
+    /// Schedules the next attempt after a failure.
     pub fn schedule(&mut self, now: Time, max_poll_interval: Span, rng: &mut fastrand::Rng) {
         let jitter = MIN_JITTER + rng.f64();
         let max_backoff = max_poll_interval * MAX_BACKOFF_PART;
@@ -30,12 +31,12 @@
         self.backoff = (self.backoff * BACKOFF_FACTOR).min(max_backoff);
     }
 
-    /// The endpoint list has come: the next failure starts with a short pause.
+    /// The endpoint list has arrived: the next failure starts with a short delay.
     pub fn reset_backoff(&mut self) {
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Whether a try is due; it counts as made.
+    /// Whether the watch is to be opened now; from then on it counts as opened.
     pub fn take_due(&mut self, now: Time) -> bool {
         self.retry_at.take_if(|at| now >= *at).is_some()
     }
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a balancer, fixed at its start.
 
-use crate::ids::ZoneId;
+use crate::ids::{ClassId, ZoneId};
 use crate::time::Span;
 
 /// What repeating a request would do.
@@ -271,6 +271,20 @@
 }
 
 impl Settings {
+    /// Whether there is such a request class.
+    pub fn has_class(&self, class: ClassId) -> bool {
+        class.0 < self.classes.len()
+    }
+
+    /// The settings of a request class.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such class.
+    pub fn class(&self, class: ClassId) -> &RequestClass {
+        &self.classes[class.0]
+    }
+
     /// Rejects settings that no balancer can work with.
     ///
     /// # Errors
