--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,6 +1,7 @@
 //! Encodes the balancer's actions for the wire.
 
 use crate::error::ActionError;
+use crate::notice_text::notice_text;
 use crate::wire::{WireAction, ALL_PEERS};
 use crate::wire_identifiers::WireIdentifiers;
 use balancer_core::{Action, PeerId, RequestId, ServerId, Span};
@@ -16,7 +17,7 @@
         Action::Send { request, server, timeout_at, .. } => WireAction::Send {
             server: server_name(server, identifiers)?,
             request_id: request_id(identifiers.requests.start_attempt(request))?,
-            timeout_at_ms: timeout_at.as_ms(),
+            timeout_at_ms: timeout_at.as_millis_f64(),
         },
         Action::Cancel { request, attempt } => WireAction::Cancel {
             request_id: request_id(identifiers.requests.wire_id(request))?,
@@ -24,10 +25,12 @@
         },
         Action::Reject { request, retry_after } => WireAction::Reject {
             request_id: close_request(request, identifiers)?,
-            retry_after_ms: retry_after.map(Span::as_ms),
+            retry_after_ms: retry_after.map(Span::as_millis_f64),
         },
         Action::Fail { request } => WireAction::Fail { request_id: close_request(request, identifiers)? },
-        Action::SetTimer { at, timer } => WireAction::SetTimer { at_ms: at.as_ms(), timer: timer.0 },
+        Action::SetTimer { at, timer } => {
+            WireAction::SetTimer { at_ms: at.as_millis_f64(), timer: timer.number() }
+        }
         Action::CheckHealth { server } => {
             WireAction::CheckHealth { server: server_name(server, identifiers)? }
         }
@@ -36,7 +39,7 @@
             WireAction::Gossip { receiver: receiver(to), payload: hex::encode(payload) }
         }
         Action::WatchEndpoints => WireAction::WatchEndpoints { is_active: true },
-        Action::Log { text } => WireAction::Log { text },
+        Action::Notify(notice) => WireAction::Log { text: notice_text(&notice) },
     })
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -26,7 +26,7 @@
         if !clock_ms.is_finite() || clock_ms < 0.0 {
             return Err(BatchError::InvalidClock { clock_ms });
         }
-        let now = Time::from_ms(clock_ms);
+        let now = Time::from_millis_f64(clock_ms);
         let mut reply = Reply { round: batch.round, instances: Vec::new() };
         for instance_events in batch.instances {
             let instance_actions = self.handle_events(now, instance_events)?;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,6 +7,7 @@
 mod error;
 mod host;
 mod instance;
+mod notice_text;
 mod request_id_map;
 mod session;
 mod wire;
