--- a/crates/balancer-core/src/endpoint.rs
+++ b/crates/balancer-core/src/endpoint.rs
@@ -8,7 +8,7 @@
 pub enum EndpointStatus {
     /// It takes requests.
     Serving,
-    /// It finishes what it has; send it nothing new.
+    /// It finishes its requests and must not be sent new ones.
     Draining,
     /// It has left the list.
     Removed,
@@ -27,14 +27,14 @@
     pub cell: CellId,
     /// Whether it takes requests.
     pub status: EndpointStatus,
-    /// Its size among the others; see [`EndpointWeights`](crate::EndpointWeights).
+    /// Its size relative to the others; see [`EndpointWeights`](crate::EndpointWeights).
     pub weight: f64,
-    /// When its process last started, if that was lately.
+    /// When its process last started, if that was recently.
     pub started_at: Option<Time>,
 }
 
 impl Endpoint {
-    /// A serving server that started long ago, in zone, machine kind and cell 0.
+    /// A warm serving server in zone, machine kind and cell 0.
     pub fn serving(server: ServerId) -> Self {
         Endpoint {
             server,
@@ -53,15 +53,15 @@
     }
 }
 
-/// A watch event: news of the endpoint list.
+/// A watch event: a change of the endpoint list, or the failure of the watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
     /// Only the entries that changed.
     Changes(Vec<Endpoint>),
     /// The complete list: a server that it leaves out has been removed.
     Complete(Vec<Endpoint>),
-    /// The complete list as it was cached before a restart; may be stale.
+    /// The complete list as it was cached before a restart; it may be stale.
     Cached(Vec<Endpoint>),
-    /// A call failed or the watch broke; what was known still stands.
+    /// A call failed or the watch broke; what was known is kept.
     Failed,
 }
--- a/crates/balancer-core/src/event.rs
+++ b/crates/balancer-core/src/event.rs
@@ -5,27 +5,27 @@
 use crate::notice::Notice;
 use crate::time::{Span, Time};
 
-/// A request that a client has handed over.
+/// A new request from a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its name.
+    /// Its id.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
     /// The tenant that sent it.
     pub tenant: Option<TenantId>,
-    /// The object that it concerns.
+    /// The object that it concerns, if servers can serve a known one with less work.
     pub routing_key: Option<RoutingKey>,
-    /// A guess at its work, in core time.
+    /// The client's estimate of its work, in time of one core.
     pub cost_hint: Option<Span>,
-    /// The client says that it is a retry of its own. Not used by decisions.
+    /// The client says that it is a retry of its own. Decisions do not use it.
     pub is_client_retry: bool,
-    /// How long the client still waits for an answer to it.
+    /// How long the client still waits for its answer.
     pub time_left: Span,
 }
 
 impl Request {
-    /// A first try without tenant, routing key or cost hint.
+    /// A first attempt of a client, without tenant, routing key or cost hint.
     pub fn new(id: RequestId, class: ClassId, time_left: Span) -> Self {
         Request {
             id,
@@ -48,7 +48,7 @@
     ServerError,
     /// The server rejected it unprocessed.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; it may have run or still be running.
     TimedOut,
     /// No connection could be made in time; it never ran.
     ConnectFailed,
@@ -56,12 +56,12 @@
     ConnectionReset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent: the request was over, or its attempts or time were used up.
+    /// Never sent: the request had ended, or its attempts or time were used up.
     NotSent,
 }
 
 impl Outcome {
-    /// True if this outcome proves that the request did not run.
+    /// Whether this outcome proves that the request did not run.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -92,14 +92,14 @@
 pub enum Event {
     /// A request has arrived.
     Request(Request),
-    /// A stream has begun; the request is bound to this attempt.
+    /// The answer has begun to stream; the request is bound to this attempt.
     FirstByte {
         /// The request.
         request: RequestId,
         /// The attempt that it is bound to.
         attempt: AttemptNumber,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -111,17 +111,17 @@
         elapsed: Span,
         /// The server's load report, if one came.
         load_report: Option<LoadReport>,
-        /// The request has its final answer; otherwise one is still owed.
+        /// The request has its final answer; otherwise one is still pending.
         is_request_finished: bool,
     },
-    /// The client has disconnected; no answer is owed any more.
+    /// The client has disconnected and needs no answer any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A timer is due.
     TimerDue(TimerId),
-    /// A health check is over.
+    /// A health check has ended.
     HealthChecked {
         /// The server.
         server: ServerId,
@@ -132,13 +132,13 @@
         /// The server's load report, if one came.
         load_report: Option<LoadReport>,
     },
-    /// News of the endpoint list.
+    /// A change of the endpoint list, or a failure to learn of changes.
     Endpoints(EndpointUpdate),
     /// Gossip from another balancer.
     Gossip {
-        /// Who sent it.
+        /// The sender.
         from: PeerId,
-        /// What it holds.
+        /// The contents.
         payload: Vec<u8>,
     },
 }
@@ -150,11 +150,11 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
         /// When the attempt times out.
         timeout_at: Time,
-        /// Its last byte must be written by then: the servers drop this retry no longer.
+        /// Its last byte must be written by then; later the servers would no longer recognise it as a repeat.
         write_by: Option<Time>,
     },
     /// Stop waiting for an attempt.
@@ -164,28 +164,28 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Final answer: rejected, and harmless to try again.
+    /// Final answer: rejected; a retry by the client has no second effect.
     Reject {
         /// The request.
         request: RequestId,
-        /// When a retry makes sense, if that is known.
+        /// After how long a retry makes sense, if that is known.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Wake the balancer at this time; timers are never unset.
+    /// Wake the balancer at this time with [`Event::TimerDue`]. Timers are never cancelled.
     SetTimer {
         /// When.
         at: Time,
-        /// The name that [`Event::TimerDue`] brings back.
+        /// The timer to report as due.
         timer: TimerId,
     },
     /// Send a health check.
     CheckHealth {
-        /// Where to.
+        /// The server to check.
         server: ServerId,
     },
     /// Close this balancer's idle connections to a server.
@@ -195,13 +195,13 @@
     },
     /// Send a message to one other balancer, or to all.
     Gossip {
-        /// Whom; `None` for all.
+        /// The receiver; `None` for all.
         to: Option<PeerId>,
-        /// What.
+        /// The contents.
         payload: Vec<u8>,
     },
-    /// Open a watch of the endpoint list, in place of the one there may be.
+    /// Open a watch of the endpoint list; it replaces an open one.
     WatchEndpoints,
-    /// Tell the operators.
+    /// Log something for the operators.
     Notify(Notice),
 }
--- a/crates/balancer-core/src/ids.rs
+++ b/crates/balancer-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of the things that events and actions speak of. All of them are chosen by the caller.
+//! Ids of what events and actions refer to. The caller chooses all of them but those of attempts and timers.
 
 macro_rules! id_types {
     ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -1,6 +1,6 @@
 //! Client-side load-balancing decisions, without I/O.
 //!
-//! Each client process owns one [`Balancer`]. It receives what happens ([`Event`]) and when ([`Time`]), and
+//! Each client process owns one [`Balancer`]. It is told what happened ([`Event`]) and when ([`Time`]), and
 //! returns what to do ([`Action`]); it never reads a clock, opens a socket or starts a thread. Per request it
 //! compares the lightest server it remembers with fresh uniform draws, by its own requests in flight.
 //!
@@ -21,7 +21,7 @@
 //! let endpoints = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
 //! balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(endpoints)), &mut actions);
 //!
-//! // and hands over a request: the balancer says where to send it.
+//! // and passes on a request: the balancer says where to send it.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_millis(400));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: RequestId(1), .. })));
--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -115,3 +115,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/deadline/timeliness.rs
+++ b/crates/balancer-core/src/policy/deadline/timeliness.rs
@@ -43,3 +43,6 @@
     let advice = settings.class(class).latency_objective * RETRY_AFTER_SHARE;
     settings.sends_retry_after.then_some(advice.min(settings.max_retry_after))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/outlier/ejection.rs
+++ b/crates/balancer-core/src/policy/outlier/ejection.rs
@@ -42,3 +42,6 @@
         *self = Ejection { next_probe: now + interval, interval, is_probing: false };
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/outlier/health.rs
+++ b/crates/balancer-core/src/policy/outlier/health.rs
@@ -91,3 +91,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/overdue.rs
+++ b/crates/balancer-core/src/policy/overdue.rs
@@ -81,3 +81,6 @@
     }
     newly_slow
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/retry/budget.rs
+++ b/crates/balancer-core/src/policy/retry/budget.rs
@@ -47,3 +47,6 @@
         self.budget.spend(RETRY_PRICE);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/shedding/class_order.rs
+++ b/crates/balancer-core/src/policy/shedding/class_order.rs
@@ -69,3 +69,6 @@
     }
     set_size
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/shedding/shedder.rs
+++ b/crates/balancer-core/src/policy/shedding/shedder.rs
@@ -71,3 +71,6 @@
         self.class_order = rank_classes(settings, &self.traffic, latency);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/suspicion/gossip.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip.rs
@@ -54,3 +54,6 @@
 pub fn decode(payload: &[u8]) -> Option<ServerId> {
     payload.try_into().ok().map(|bytes| ServerId(u32::from_be_bytes(bytes)))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-core/src/policy/suspicion/gossip/tests.rs
@@ -0,0 +1,41 @@
+//! Tests of gossip messages and of what they may cost.
+
+use super::*;
+
+fn settings(balancer_count: u32) -> Settings {
+    Settings { balancer_count, ..Settings::default() }
+}
+
+#[test]
+fn a_message_names_its_server() {
+    assert_eq!(decode(&encode(ServerId(0x0102_0304))), Some(ServerId(0x0102_0304)));
+    assert_eq!(encode(ServerId(0x0102_0304)), [1, 2, 3, 4]);
+}
+
+#[test]
+fn a_message_of_another_length_names_no_server() {
+    for payload in [&[][..], &[1, 2, 3], &[1, 2, 3, 4, 5]] {
+        assert_eq!(decode(payload), None, "{payload:?}");
+    }
+}
+
+#[test]
+fn at_most_sixty_four_peers_are_notified_and_no_more_than_there_are() {
+    let mut rng = fastrand::Rng::with_seed(1);
+
+    assert_eq!(Gossiper::new().pay_for_receivers(&settings(1000), &mut rng).len(), 64);
+    assert_eq!(Gossiper::new().pay_for_receivers(&settings(10), &mut rng).len(), 9);
+}
+
+/// Four bytes a message: 512 pay for two rounds of 64, and a request then earns 25.
+#[test]
+fn messages_are_paid_from_a_budget_that_requests_earn() {
+    let mut rng = fastrand::Rng::with_seed(1);
+    let mut gossiper = Gossiper::new();
+    let mut notified = || gossiper.pay_for_receivers(&settings(1000), &mut rng).len();
+    assert_eq!([notified(), notified(), notified()], [64, 64, 0]);
+
+    gossiper.earn();
+
+    assert_eq!(gossiper.pay_for_receivers(&settings(1000), &mut rng).len(), 6);
+}
--- a/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
+++ b/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
@@ -42,3 +42,6 @@
         self.until = self.until.max(now + GOSSIP_SUSPICION);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/tick.rs
+++ b/crates/balancer-core/src/policy/tick.rs
@@ -38,3 +38,6 @@
         Some(self.schedule_next(now, true))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/wait_queue.rs
+++ b/crates/balancer-core/src/policy/wait_queue.rs
@@ -46,3 +46,6 @@
         self.requests = requests;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -41,3 +41,6 @@
         self.retry_at.take_if(|at| now >= *at).is_some()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -1,178 +1,17 @@
 //! The settings of a balancer, fixed at its start.
 
-use crate::ids::{ClassId, ZoneId};
-use crate::time::Span;
-
-/// What repeating a request would do.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum Effect {
-    /// Nothing: it is safe to repeat.
-    #[default]
-    Idempotent,
-    /// The request carries an idempotency key, by which servers drop a repeat.
-    Deduplicated {
-        /// Which servers share their record of keys.
-        scope: DedupScope,
-        /// For how long they drop repeats, from the send of the first attempt that may have run.
-        window: Span,
-    },
-    /// A second effect: it must not run twice.
-    AtMostOnce,
-}
-
-/// The servers that share a record of idempotency keys.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum DedupScope {
-    /// All servers.
-    Fleet,
-    /// The servers of one zone.
-    Zone,
-    /// The servers of one cell.
-    Cell,
-}
+mod goal;
+mod request_class;
+mod sources;
+mod validation;
 
-/// A class of requests.
-#[derive(Debug, Clone, PartialEq)]
-pub struct RequestClass {
-    /// What a repeat would do.
-    pub effect: Effect,
-    /// The latency objective: an answer within it has its full value.
-    pub latency_objective: Span,
-    /// The objective grows by this multiple of the request's own work, up to the deadline. Not used by
-    /// decisions.
-    pub objective_stretch: f64,
-    /// How long a client waits in all, over all its retries.
-    pub deadline: Span,
-    /// The value of a request that is answered within its objective.
-    pub priority_weight: f64,
-    /// The share of that value which an answer between objective and deadline keeps.
-    pub late_value: f64,
-    /// The answer is a stream, announced by [`Event::FirstByte`](crate::Event::FirstByte).
-    pub is_streaming: bool,
-}
-
-impl Default for RequestClass {
-    fn default() -> Self {
-        RequestClass {
-            effect: Effect::Idempotent,
-            latency_objective: Span::from_millis(500),
-            objective_stretch: 0.0,
-            deadline: Span::from_millis(1000),
-            priority_weight: 1.0,
-            late_value: 0.0,
-            is_streaming: false,
-        }
-    }
-}
-
-/// A tenant with a share of the service.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct Tenant {
-    /// Its share of the service, as a fraction.
-    pub share: f64,
-    /// Requests a second, over all balancers, that lie within its share. Not used by decisions.
-    pub quota_per_s: f64,
-}
-
-/// A value of a server's load report, in the order that [`Settings::load_report_fields`] gives.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum LoadReportField {
-    /// Requests that the server holds.
-    InFlight,
-    /// Requests that wait in the server.
-    QueueLength,
-    /// The busy share of its cores.
-    Utilisation,
-    /// Its recent service time in milliseconds, without waiting.
-    ServiceTime,
-    /// Requests it answers a second.
-    RequestRate,
-    /// Errors a second.
-    ErrorRate,
-    /// A value that balancers have no use for.
-    Unknown,
-}
-
-/// How the balancer learns of changes to the endpoint list.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum DiscoveryMode {
-    /// Changes come by themselves.
-    #[default]
-    Pushed,
-    /// Changes come only while a watch is open; see
-    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
-    OnRequest,
-}
-
-/// Where load reports come from.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum LoadReportSource {
-    /// There are none.
-    #[default]
-    None,
-    /// With the answers to attempts and health checks.
-    Responses,
-    /// With the answers to health checks only.
-    HealthChecks,
-}
-
-/// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum EndpointWeights {
-    /// Weights say nothing.
-    #[default]
-    Unspecified,
-    /// The size of the machine, exactly or roughly.
-    Size,
-    /// The size divided by the load of a while ago.
-    SizeOverLoad,
-}
+pub use goal::{Costs, GoalWeights, Tenant, ValueBasis};
+pub use request_class::{DedupScope, Effect, RequestClass};
+pub use sources::{DiscoveryMode, EndpointWeights, LoadReportField, LoadReportSource};
+pub use validation::SettingsError;
 
-/// What the value of a request is counted by.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum ValueBasis {
-    /// Each request counts once.
-    #[default]
-    Requests,
-    /// Each request counts by its work.
-    Work,
-}
-
-/// How the service weighs its results; the parts need not add up to one.
-#[derive(Debug, Clone, PartialEq)]
-pub struct GoalWeights {
-    /// All requests together.
-    pub overall: f64,
-    /// The worst stretch of time.
-    pub worst_window: f64,
-    /// The class that is served worst.
-    pub worst_class: f64,
-    /// The tenant that is served worst within its share.
-    pub worst_tenant: f64,
-}
-
-impl Default for GoalWeights {
-    fn default() -> Self {
-        GoalWeights { overall: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
-    }
-}
-
-/// What things cost: the share of the result that is lost to one of each per request.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct Costs {
-    /// An attempt that leaves the balancer's zone.
-    pub cross_zone: f64,
-    /// A health check.
-    pub health_check: f64,
-    /// A new connection.
-    pub handshake: f64,
-    /// An open connection, per hundred servers. Not used by decisions.
-    pub connection: f64,
-    /// Work of a server that served no answer.
-    pub wasted_work: f64,
-    /// A request that ends unserved after its objective. Not used by decisions.
-    pub late_failure: f64,
-}
+use crate::ids::{ClassId, ZoneId};
+use crate::time::Span;
 
 /// All settings of a balancer.
 #[derive(Debug, Clone, PartialEq)]
@@ -203,7 +42,7 @@
     pub load_report_fields: Vec<LoadReportField>,
     /// What the weights of endpoints mean.
     pub endpoint_weights: EndpointWeights,
-    /// A server that has lately served a routing key serves it with less work.
+    /// A server that has recently served a routing key serves it with less work.
     pub has_key_affinity: bool,
     /// Most attempts for one request.
     pub max_attempts: u32,
@@ -217,21 +56,21 @@
     pub allows_gossip: bool,
     /// Clients are passed the `retry_after` of [`Action::Reject`](crate::Action::Reject).
     pub sends_retry_after: bool,
-    /// The longest `retry_after` that a client heeds.
+    /// The longest `retry_after` that clients follow.
     pub max_retry_after: Span,
-    /// Nothing new may go to a draining or removed server this long after the balancer was notified.
+    /// Nothing new may be sent to a draining or removed server this long after the balancer was notified.
     pub drain_grace: Span,
-    /// A server starts with this share of its capacity or more.
+    /// The lowest share of its capacity that a server starts with.
     pub initial_capacity: f64,
-    /// A server has its full capacity this long after its start.
+    /// The longest time that a server takes from its start to its full capacity.
     pub warm_up_time: Span,
     /// A server that is warming up fails when sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_window: Span,
-    /// An attempt is written up to this long after it is decided, for its connection may have to be opened.
+    /// How long opening a connection may take, and so how much later than decided an attempt may be written.
     pub connect_timeout: Span,
-    /// Events come at most this often.
+    /// The shortest interval between two events; times are only as exact as this.
     pub event_interval: Span,
 }
 
@@ -284,60 +123,4 @@
     pub fn class(&self, class: ClassId) -> &RequestClass {
         &self.classes[class.0]
     }
-
-    /// Rejects settings that no balancer can work with.
-    ///
-    /// # Errors
-    ///
-    /// The first setting that is missing or out of range.
-    pub fn check(&self) -> Result<(), SettingsError> {
-        if self.classes.is_empty() {
-            return Err(SettingsError::NoClasses);
-        }
-        if self.max_attempts == 0 {
-            return Err(SettingsError::NoAttempts);
-        }
-        for class in &self.classes {
-            if class.latency_objective == Span::ZERO {
-                return Err(SettingsError::ZeroSpan { setting: "aim" });
-            }
-            if class.deadline == Span::ZERO {
-                return Err(SettingsError::ZeroSpan { setting: "deadline" });
-            }
-        }
-        let numbers = [("cold_share", self.initial_capacity), ("overload_factor", self.overload_factor)];
-        let weights = self.classes.iter().map(|class| ("worth", class.priority_weight));
-        for (setting, value) in numbers.into_iter().chain(weights) {
-            if !value.is_finite() || value < 0.0 {
-                return Err(SettingsError::BadNumber { setting, value });
-            }
-        }
-        Ok(())
-    }
-}
-
-/// Settings that no balancer can work with. Messages name the settings as the operators' pages do.
-#[derive(Debug, Clone, PartialEq, thiserror::Error)]
-#[non_exhaustive]
-pub enum SettingsError {
-    /// There must be at least one class.
-    #[error("settings name no request class; at least one is needed")]
-    NoClasses,
-    /// A number that must be finite and not negative is not.
-    #[error("setting {setting} is {value}; a finite number of zero or more is needed")]
-    BadNumber {
-        /// Which setting.
-        setting: &'static str,
-        /// What it was.
-        value: f64,
-    },
-    /// A length of time that must be above zero is zero.
-    #[error("setting {setting} is zero; it must be longer")]
-    ZeroSpan {
-        /// Which setting.
-        setting: &'static str,
-    },
-    /// A request needs at least one attempt.
-    #[error("settings allow no attempt for a request; at least one is needed")]
-    NoAttempts,
 }
