--- a/crates/balancer-core/src/balancer.rs
+++ b/crates/balancer-core/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The balancer: handles events, orders the steps, and turns what the concerns of [`crate::policy`] decide into
-//! actions. It holds no rule of its own.
+//! The balancer: handles events, orders the steps, and turns what the concerns of [`crate::policy`] decide
+//! into actions. It holds no rule of its own.
 
 mod endpoints;
 mod feedback;
@@ -118,8 +118,8 @@
         out.append(&mut self.actions);
     }
 
-    /// The periodic work, in this order: the watch, what is learned of the fleet as a whole, overdue attempts,
-    /// and the queue.
+    /// The periodic work, in this order: the watch, what is learned of the fleet as a whole, overdue
+    /// attempts, and the queue.
     fn tick(&mut self) {
         if !self.ticks.is_due(self.now) {
             return;
--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -11,12 +11,12 @@
 
 /// An answer is slow from this latency ratio on: by then a server holds several requests for each core, and
 /// one that does so for long becomes slower still. Counting only late answers would notice an overload too
-/// late.
+/// late (docs/findings/fleet-jams.md).
 pub const SLOW_RATIO: LatencyRatio = LatencyRatio::new(2.0 * TARGET_RATIO.value());
 /// Part of the probability that is lost in a round trip of slow answers.
 const CUT: f64 = 0.6;
-/// Part of the probability's square root that is gained in a round trip of good answers. With `CUT`, a quarter
-/// of slow answers keeps the probability as it is, and low probabilities recover quickly.
+/// Part of the probability's square root that is gained in a round trip of good answers. With `CUT`, a
+/// quarter of slow answers keeps the probability as it is, and low probabilities recover quickly.
 const GAIN: f64 = 0.2;
 /// Answers that count as one round trip at least in a sparse view. With fewer, a single slow answer would
 /// stop the balancer.
@@ -24,7 +24,8 @@
 /// Lowest probability in a sparse view. Without some admitted requests the end of an overload would go
 /// unnoticed.
 const MIN_PROBABILITY: f64 = 0.02;
-/// Classes that are shed first keep this part of the probability, so that none is starved.
+/// Classes that are shed first keep this part of the probability, so that none is starved
+/// (docs/findings/fleet-shares.md).
 const MIN_CLASS_PART: f64 = 0.5;
 
 /// The admission probability and the fleet that it was learned on.
@@ -79,8 +80,9 @@
     }
 
     /// Updates the capacity of the serving fleet, in warm servers. In a sparse view the probability is scaled
-    /// with it: the endpoint list shows that a fleet shrinks before any server is slow, and a fleet that warms
-    /// up can handle more. An empty list says nothing about the next one and is ignored.
+    /// with it: the endpoint list shows that a fleet shrinks before any server is slow, and a fleet that
+    /// warms up can handle more (docs/findings/fleet-join.md). An empty list says nothing about the next one
+    /// and is ignored.
     pub fn follow_capacity(&mut self, capacity: f64) {
         if capacity <= 0.0 {
             return;
@@ -92,8 +94,8 @@
         self.fleet_capacity = capacity;
     }
 
-    /// Whether a request of this shed order is admitted. In a dense view the limits of the servers decide, and
-    /// everything is admitted here.
+    /// Whether a request of this shed order is admitted. In a dense view the limits of the servers decide,
+    /// and everything is admitted here.
     pub fn admits(&self, order: ShedOrder, shedder: &LoadShedder, rng: &mut fastrand::Rng) -> bool {
         match self.view {
             FleetView::Dense => true,
--- a/crates/balancer-core/src/policy/concurrency.rs
+++ b/crates/balancer-core/src/policy/concurrency.rs
@@ -16,8 +16,8 @@
 const LATE_CUT: f64 = 0.85;
 /// Requests that a limit in full use grows by in the time that it takes to use it once.
 const GROWTH: f64 = 0.1;
-/// Part of the limit that an answer takes off for each unit of overshoot. 0.04 and 0.08 were measured and cost
-/// more than they save.
+/// Part of the limit that an answer takes off for each unit of overshoot. 0.04 and 0.08 were measured and
+/// cost more than they save.
 const SHRINK: f64 = 0.02;
 /// Highest overshoot that counts, as a multiple of the target.
 const MAX_OVERSHOOT: f64 = 2.0;
@@ -67,7 +67,8 @@
 
     /// Adjusts the limit by an answer, but not below `min_limit`. It shrinks more slowly than the smoothed
     /// latency adapts, because the lag of the average would drive it down too far; a late answer or a full
-    /// queue is certain evidence and counts at once.
+    /// queue is certain evidence and counts at once. It grows only in full use: limits that grew in calm
+    /// minutes would let the next burst overload the fleet (docs/findings/case6480.md).
     pub fn record(&mut self, sample: &AnswerSample, min_limit: f64) {
         let overshoot = (sample.smoothed_ratio.value() / TARGET_RATIO.value() - 1.0).min(MAX_OVERSHOOT);
         let is_late = sample.ratio >= LATE_RATIO;
@@ -85,8 +86,8 @@
         self.last_latency_ms = latency.as_millis_f64();
     }
 
-    /// Backs off from a full server for a typical latency of the class with this objective. Otherwise what one
-    /// server rejects would go round the whole fleet at once.
+    /// Backs off from a full server for a typical latency of the class with this objective. Otherwise what
+    /// one server rejects would go round the whole fleet at once.
     pub fn back_off(&mut self, now: Time, objective: Span, typical_ratio: LatencyRatio) {
         self.last_latency_ms = objective.as_millis_f64();
         self.backoff_until = now + Span::from_millis_f64(objective.as_millis_f64() * typical_ratio.value());
--- a/crates/balancer-core/src/policy/deadline/usual_timeout.rs
+++ b/crates/balancer-core/src/policy/deadline/usual_timeout.rs
@@ -2,8 +2,8 @@
 
 use crate::Span;
 
-/// Votes that a usual timeout can gather; when clients change their timeouts, the new one is accepted after as
-/// many.
+/// Votes that a usual timeout can gather; when clients change their timeouts, the new one is accepted after
+/// as many.
 const MAX_VOTES: u32 = 50;
 
 /// The timeout that most requests of a class come with, which is that of a first try, and the votes for it.
@@ -15,8 +15,8 @@
 
 impl UsualTimeout {
     /// Whether a request is a first try, by majority vote over the requests so far. First tries of a class
-    /// have equal timeouts, within `tolerance`; another timeout is what earlier tries have left of the class's
-    /// deadline.
+    /// have equal timeouts, within `tolerance`; another timeout is what earlier tries have left of the
+    /// class's deadline.
     pub fn is_first_try(&mut self, time_left: Span, tolerance: Span) -> bool {
         if self.votes == 0 {
             *self = UsualTimeout { timeout: time_left, votes: 1 };
--- a/crates/balancer-core/src/policy/feedback.rs
+++ b/crates/balancer-core/src/policy/feedback.rs
@@ -11,8 +11,9 @@
 
 /// The latency of an ended attempt as a share of its class's objective, late answers all counted alike.
 ///
-/// An attempt that was lost while its server answered others in time shows no load: its connection was lost. An
-/// attempt that was cancelled may still be queued at the server and counts as late.
+/// An attempt that was lost while its server answered others in time shows no load: its connection was lost
+/// (docs/findings/lost-answers.md). An attempt that was cancelled may still be queued at the server and
+/// counts as late.
 pub fn observed_ratio(
     settings: &Settings,
     server: &ServerState,
--- a/crates/balancer-core/src/policy/fleet/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -125,8 +125,8 @@
         self.by_id.values().copied().filter(|&index| is_old(&self[index])).collect()
     }
 
-    /// Forgets a server and frees its position. Nothing may refer to it any more; otherwise what was meant for
-    /// it would reach the next server at its position.
+    /// Forgets a server and frees its position. Nothing may refer to it any more; otherwise what was meant
+    /// for it would reach the next server at its position.
     pub fn forget(&mut self, index: ServerIndex) {
         let id = self[index].endpoint.server;
         self.by_id.remove(&id);
--- a/crates/balancer-core/src/policy/latency.rs
+++ b/crates/balancer-core/src/policy/latency.rs
@@ -28,8 +28,8 @@
     ratio: f64,
     /// Samples recorded.
     samples: u32,
-    /// Latency over what is typical for the class, following quick answers faster than slow ones: how slow the
-    /// machine itself is.
+    /// Latency over what is typical for the class, following quick answers faster than slow ones: how slow
+    /// the machine itself is.
     relative_slowness: f64,
 }
 
--- a/crates/balancer-core/src/policy/outlier.rs
+++ b/crates/balancer-core/src/policy/outlier.rs
@@ -1,5 +1,5 @@
-//! Outliers: servers that fail or are slow next to the others are ejected, and probed by single requests until
-//! they recover.
+//! Outliers: servers that fail or are slow next to the others are ejected, and probed by single requests
+//! until they recover.
 
 mod detection;
 mod ejection;
--- a/crates/balancer-core/src/policy/outlier/detection.rs
+++ b/crates/balancer-core/src/policy/outlier/detection.rs
@@ -7,7 +7,8 @@
 use crate::units::LatencyRatio;
 use crate::{EjectionReason, Outcome, Time};
 
-/// A server is slow at this multiple of the fleet's median latency; below it, own counts alone shift the load.
+/// A server is slow at this multiple of the fleet's median latency; below it, own counts alone shift the
+/// load.
 const OUTLIER_FACTOR: f64 = 3.0;
 /// The median counts as this at least when a probe is judged.
 const MIN_PROBE_MEDIAN: f64 = 0.1;
@@ -58,7 +59,8 @@
     }
 }
 
-/// Whether a single answer is slow, and slow next to the fleet too.
+/// Whether a single answer is slow, and slow next to the fleet too, as where a noisy neighbour takes the
+/// server's cores (docs/findings/fleet-shares.md).
 pub fn is_relatively_slow(ratio: LatencyRatio, median: LatencyRatio) -> bool {
     ratio >= SLOW_RATIO && ratio.value() > OUTLIER_FACTOR * median.value()
 }
--- a/crates/balancer-core/src/policy/overdue.rs
+++ b/crates/balancer-core/src/policy/overdue.rs
@@ -33,8 +33,9 @@
 }
 
 impl OverdueSearch<'_> {
-    /// The overdue attempts whose server is silent, or answers others quickly. Those of a server that is slow
-    /// for all are left alone.
+    /// The overdue attempts whose server is silent, or answers others quickly
+    /// (docs/findings/lost-answers.md). Those of a server that is slow for all are left alone: they may still
+    /// be queued there.
     pub fn find(&self, in_flight: &AttemptsInFlight) -> Vec<OverdueAttempt> {
         in_flight.iter().filter_map(|(key, attempt)| self.examine(key, attempt)).collect()
     }
--- a/crates/balancer-core/src/policy/retry.rs
+++ b/crates/balancer-core/src/policy/retry.rs
@@ -1,5 +1,5 @@
-//! Retries: what the rules permit for a request, what the budget pays for, and which attempts are cancelled to
-//! be retried.
+//! Retries: what the rules permit for a request, what the budget pays for, and which attempts are cancelled
+//! to be retried.
 
 mod budget;
 mod decision;
--- a/crates/balancer-core/src/policy/routing/request.rs
+++ b/crates/balancer-core/src/policy/routing/request.rs
@@ -8,8 +8,8 @@
 use crate::units::Work;
 use crate::{ClassId, RequestId, RoutingKey};
 
-/// Bounds of a request's work, as a multiple of what is usual for its class, when it is weighed against a slow
-/// machine.
+/// Bounds of a request's work, as a multiple of what is usual for its class, when it is weighed against a
+/// slow machine.
 const MIN_RELATIVE_WORK: f64 = 1.0;
 const MAX_RELATIVE_WORK: f64 = 9.0;
 
--- a/crates/balancer-core/src/policy/routing/sample.rs
+++ b/crates/balancer-core/src/policy/routing/sample.rs
@@ -12,8 +12,8 @@
 }
 
 const DENSE: SampleSize = SampleSize { remembered: 1, draws: 3 };
-/// More are remembered in a sparse view: a connection that stays open saves its server the work of a handshake
-/// (docs/findings/fleet-handshakes.md).
+/// More are remembered in a sparse view: a connection that stays open saves its server the work of a
+/// handshake (docs/findings/fleet-handshakes.md).
 const SPARSE: SampleSize = SampleSize { remembered: 6, draws: 6 };
 
 /// The most candidates of one choice, in any view.
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -16,7 +16,8 @@
 /// The work of a handshake, in requests: operators count 25 to 40 ms against 87 to 180 ms.
 const HANDSHAKE_WORK: f64 = 0.25;
 /// A server wins the draw to be remembered and again at each choice from memory; what is drawn settles in
-/// proportion to its estimated capacity if the draw is weighted by this power of it.
+/// proportion to its estimated capacity if the draw is weighted by this power of it
+/// (docs/findings/fleet-handshakes.md).
 const CAPACITY_POWER: f64 = 0.6;
 /// Estimated capacity falls with this power of latency; with 1 slow machines time out while fast ones idle.
 const LATENCY_POWER: i32 = 3;
@@ -26,7 +27,8 @@
 const KEY_SERVER_WEIGHT: f64 = 0.7;
 /// A machine's slowness counts with this power, times the request's work weight.
 const SLOWNESS_POWER: f64 = 0.5;
-/// Loads that differ by less than this (as a logarithm) are equal: a quarter is well within chance.
+/// Loads that differ by less than this (as a logarithm) are equal: a quarter is well within chance
+/// (docs/findings/ties.md).
 const EQUAL_LOADS: f64 = 0.25;
 
 /// How a candidate compares: the least rank wins.
--- a/crates/balancer-core/src/policy/shedding/class_order.rs
+++ b/crates/balancer-core/src/policy/shedding/class_order.rs
@@ -35,8 +35,9 @@
     }
 }
 
-/// Decides by class which are shed first. Shedding a set of classes costs their value and, once, the part of
-/// the goal that depends on the worst class; the set that costs least for the work that it frees is shed first.
+/// Decides by class which are shed first (docs/findings/fleet-shares.md). Shedding a set of classes costs
+/// their value and, once, the part of the goal that depends on the worst class; the set that costs least for
+/// the work that it frees is shed first.
 pub fn rank_classes(settings: &Settings, traffic: &Traffic, latency: &FleetLatency) -> Vec<ShedOrder> {
     let classes = (0..settings.classes.len()).map(ClassId);
     let loads = classes.map(|class| ClassLoad::new(settings, traffic, latency, class));
--- a/crates/balancer-core/src/policy/slow_start.rs
+++ b/crates/balancer-core/src/policy/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: a server that has just started is sent no more than it is known to have capacity for, so that
 //! the sum of all balancers cannot overload it. Balancers need no coordination: each keeps to its own part.
 //!
-//! In a dense view a server that is warming up gets its capacity share of the work that warm servers were sent
-//! lately ([`SlowStart::exceeds_share`]). In a sparse view it becomes a candidate only with the probability of
-//! that share ([`SlowStart::admits_candidate`]).
+//! In a dense view a server that is warming up gets its capacity share of the work that warm servers were
+//! sent lately ([`SlowStart::exceeds_share`]). In a sparse view it becomes a candidate only with the
+//! probability of that share ([`SlowStart::admits_candidate`]).
 
 use super::latency::INITIAL_RATIO;
 use super::smoothing::{update_recent_average, DecayingSum};
@@ -103,11 +103,12 @@
         server.sum.value_at(now) + work.as_millis_f64() > allowed_work
     }
 
-    /// Whether a server with this share of its capacity may be a candidate now. In a sparse view a server that
-    /// is warming up is empty in the eyes of all balancers, and their sum would overload it. Each admits it
-    /// only as often as the part of a warm server's share that it may get: what it is known to have capacity
-    /// for, and more while servers that are warming up answer sooner than warm ones. Where the emptiest
-    /// candidate wins, it wins over `competitors` at once, and the probability is divided by them.
+    /// Whether a server with this share of its capacity may be a candidate now. In a sparse view a server
+    /// that is warming up is empty in the eyes of all balancers, and their sum would overload it. Each admits
+    /// it only as often as the part of a warm server's share that it may get: what it is known to have
+    /// capacity for, and more while servers that are warming up answer sooner than warm ones
+    /// (docs/findings/fleet-join.md and fleet-shares.md). Where the emptiest candidate wins, it wins over
+    /// `competitors` at once, and the probability is divided by them.
     pub fn admits_candidate(
         &self,
         settings: &Settings,
--- a/crates/balancer-core/src/policy/suspicion/tracker.rs
+++ b/crates/balancer-core/src/policy/suspicion/tracker.rs
@@ -14,8 +14,8 @@
     pub payload: Vec<u8>,
 }
 
-/// The links to the zones, and the gossip of suspected servers. The suspicion of a single server is part of its
-/// record.
+/// The links to the zones, and the gossip of suspected servers. The suspicion of a single server is part of
+/// its record.
 pub struct SuspicionTracker {
     zone_links: ZoneLinks,
     gossiper: Gossiper,
@@ -75,8 +75,8 @@
     }
 }
 
-/// Puts the server that gossip names under suspicion for a short while and returns it. Nothing else is done, so
-/// that old, lost or false gossip is harmless; gossip of an unknown server is ignored.
+/// Puts the server that gossip names under suspicion for a short while and returns it. Nothing else is done,
+/// so that old, lost or false gossip is harmless; gossip of an unknown server is ignored.
 pub fn receive_gossip(payload: &[u8], now: Time, fleet: &mut ServerRegistry) -> Option<ServerIndex> {
     let index = fleet.find(decode(payload)?)?;
     fleet[index].suspicion.extend_by_gossip(now);
