--- a/crates/balancer-agent/src/framing.rs
+++ b/crates/balancer-agent/src/framing.rs
@@ -1,10 +1,10 @@
-//! Where each request of a client's connection begins and ends, seen before hyper sees it.
+//! Finds the boundaries of each request on a client connection before hyper reads it.
 //!
-//! hyper drops a `Content-Length` that stands beside a `Transfer-Encoding` and takes equal lengths for one,
-//! so what it hands on no longer shows that a peer might read the message otherwise. It also reads ahead, so
-//! that an idle connection and one with a request on its way look alike. [`ClientStream`] passes on one
-//! complete head, then the bytes that its length gives and nothing behind them until the request has its
-//! answer.
+//! hyper drops a `Content-Length` beside a `Transfer-Encoding` and merges equal `Content-Length` headers, so
+//! the request it returns no longer shows that another peer might read the message differently. It also reads
+//! ahead, so an idle connection and one with a partly received request look alike. [`ClientStream`] gives hyper
+//! one complete head, then as many body bytes as the head announces, and nothing of the next request until the
+//! current one is answered.
 
 mod client_stream;
 mod connection_state;
@@ -12,7 +12,7 @@
 mod request_framer;
 
 pub use client_stream::ClientStream;
-pub use connection_state::{ConnectionState, Phase};
+pub use connection_state::{ConnectionState, FramingFault, Phase};
 
-/// The longest head of a request.
-pub const MAX_HEAD: usize = 16 << 10;
+/// The size limit of a request's head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/crates/balancer-agent/src/framing/client_stream.rs
+++ b/crates/balancer-agent/src/framing/client_stream.rs
@@ -1,6 +1,6 @@
-//! A client's socket, read request by request.
+//! The socket of a client connection, read request by request.
 
-use super::connection_state::{ConnectionState, Phase};
+use super::connection_state::ConnectionState;
 use super::request_framer::RequestFramer;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -10,60 +10,64 @@
 use std::task::{ready, Context, Poll};
 use tokio::net::TcpStream;
 
-/// Read at a time.
-const CHUNK: usize = 4 << 10;
-/// The most that is read and thrown away behind the last answer.
-const MAX_DISCARDED: usize = 256 << 10;
+/// How many bytes are read at a time.
+const READ_BYTES: usize = 4 << 10;
+/// How many bytes are read and discarded behind the last answer before the connection is closed anyway.
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-/// A client's connection. It shows hyper one request at a time.
+/// A client connection that gives hyper one request at a time.
 pub struct ClientStream {
     io: TokioIo<TcpStream>,
     state: Rc<ConnectionState>,
     framer: RequestFramer,
-    has_client_ended: bool,
-    /// Bytes read and thrown away behind the last answer.
-    discarded: usize,
-    has_nodelay: bool,
+    /// Whether the client has shut down its sending side.
+    is_at_end: bool,
+    /// How many bytes behind the last answer have been read and discarded.
+    discarded_bytes: usize,
+    is_nodelay_set: bool,
 }
 
 impl ClientStream {
-    /// Wraps a connection.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream, state: Rc<ConnectionState>) -> Self {
         ClientStream {
             io: TokioIo::new(stream),
             state,
             framer: RequestFramer::new(),
-            has_client_ended: false,
-            discarded: 0,
-            has_nodelay: false,
+            is_at_end: false,
+            discarded_bytes: 0,
+            is_nodelay_set: false,
         }
     }
 
-    /// Sets the option that has small writes go out at once; what waits is lost if the connection is reset.
-    /// On a connection that has just been accepted that may fail and work a moment later, so it is tried
-    /// before each write until it does. Without it answers may be slower; that beats no answer.
+    /// Sets `TCP_NODELAY`, as bytes that wait in the socket are lost if the connection is reset. The option may
+    /// fail on a connection that has just been accepted and succeed a moment later, so it is tried before each
+    /// write until it succeeds. Failures are ignored: without the option answers are slower, but still sent.
     fn set_nodelay(&mut self) {
-        self.has_nodelay = self.has_nodelay || self.io.inner().set_nodelay(true).is_ok();
+        if !self.is_nodelay_set {
+            self.is_nodelay_set = self.io.inner().set_nodelay(true).is_ok();
+        }
     }
 
-    /// Reads more; false at the end of the stream. All is read even where not all is kept, or the client's
-    /// leaving would stand unseen behind it.
+    /// Reads more bytes into the framer; `false` at the end of the stream. Bytes that the framer does not keep
+    /// are read as well, as the end of the stream is only seen behind them.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        if self.has_client_ended {
+        if self.is_at_end {
             return Poll::Ready(Ok(false));
         }
-        let mut chunk = [0; CHUNK];
-        let length = ready!(self.poll_chunk(cx, &mut chunk))?;
-        self.framer.push(&chunk[..length], &self.state);
+        let mut bytes = [0; READ_BYTES];
+        let length = ready!(self.poll_receive(cx, &mut bytes))?;
+        self.framer.push(&bytes[..length], &self.state);
         Poll::Ready(Ok(length > 0))
     }
 
-    fn poll_chunk(&mut self, cx: &mut Context<'_>, chunk: &mut [u8]) -> Poll<io::Result<usize>> {
+    /// Reads bytes from the socket; 0 at the end of the stream.
+    fn poll_receive(&mut self, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.io.inner().poll_read_ready(cx))?;
-            match self.io.inner().try_read(chunk) {
+            match self.io.inner().try_read(bytes) {
                 Ok(length) => {
-                    self.has_client_ended = length == 0;
+                    self.is_at_end = length == 0;
                     return Poll::Ready(Ok(length));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -72,12 +76,13 @@
         }
     }
 
-    /// Waits for the client's end after the last answer. A close over bytes that nobody reads would reset the
-    /// connection, and what the client has not taken in of its answer would be lost.
+    /// Waits after the last answer until the client closes. Closing a socket with unread bytes would reset the
+    /// connection, and the client would lose the part of the answer that it has not received.
     fn poll_client_end(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut chunk = [0; CHUNK];
-        while !self.has_client_ended && self.discarded < MAX_DISCARDED {
-            self.discarded += ready!(self.poll_chunk(cx, &mut chunk))?;
+        let mut bytes = [0; READ_BYTES];
+        while !self.is_at_end && self.discarded_bytes < MAX_DISCARDED_BYTES {
+            let length = ready!(self.poll_receive(cx, &mut bytes))?;
+            self.discarded_bytes += length;
         }
         Poll::Ready(Ok(()))
     }
@@ -90,11 +95,11 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.state.take_answer_written() {
-            this.framer.start_next(&this.state);
+        if this.state.acknowledge_answer() {
+            this.framer.start_next_request(&this.state);
         }
         loop {
-            if let Some(bytes) = this.framer.passable(&this.state) {
+            if let Some(bytes) = this.framer.released_bytes(&this.state) {
                 let length = bytes.len().min(buf.remaining());
                 buf.put_slice(&bytes[..length]);
                 this.framer.consume(length);
@@ -105,11 +110,11 @@
             }
             match this.poll_fill(cx) {
                 Poll::Ready(Ok(true)) => {}
-                // The client has left, whatever stands behind its request.
+                // hyper sees the end of the stream, even if the framer still holds bytes of a next request.
                 Poll::Ready(Ok(false)) => return Poll::Ready(Ok(())),
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
                 Poll::Pending => {
-                    this.state.wake_after_answer(cx.waker().clone());
+                    this.state.wake_reader_after_answer(cx.waker().clone());
                     return Poll::Pending;
                 }
             }
@@ -124,19 +129,18 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_flush(cx))?;
-        // hyper asks for this once its own buffer is empty.
-        self.state.flushed();
+        // hyper flushes once its own buffer is empty.
+        self.state.output_flushed();
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_shutdown(cx))?;
-        // Set only if the connection ends with an answer; over a resting one all answers have been read.
-        if !self.state.is_answer_written() {
-            return Poll::Ready(Ok(()));
+        if self.state.sending_shut_down() {
+            self.poll_client_end(cx)
+        } else {
+            Poll::Ready(Ok(()))
         }
-        self.state.enter(Phase::Closing);
-        self.poll_client_end(cx)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/balancer-agent/src/framing/client_stream/tests.rs
+++ b/crates/balancer-agent/src/framing/client_stream/tests.rs
@@ -1,12 +1,12 @@
-//! Options of a client's socket.
+//! Options of a client connection's socket.
 
 use super::*;
 use std::future::poll_fn;
 use tokio::net::TcpListener;
 
-/// The option could not be set when the connection was accepted.
+/// The option is not set when the connection is accepted, only before its first write.
 #[tokio::test]
-async fn the_first_answer_goes_out_without_delay() {
+async fn nodelay_is_set_before_the_first_write() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("an address"));
     let (_client, accepted) = tokio::join!(client, listener.accept());
--- a/crates/balancer-agent/src/framing/connection_state.rs
+++ b/crates/balancer-agent/src/framing/connection_state.rs
@@ -1,4 +1,4 @@
-//! What a client's connection is doing, shared by its socket and its owner.
+//! The state machine of a client connection, shared by its socket and the task that serves it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,29 +8,48 @@
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing has come over it yet.
+    /// No byte has been received yet.
     Silent,
-    /// A request is on its way.
+    /// A request has been received in part.
     Receiving,
-    /// A request is complete and has no answer yet.
+    /// A request has been received completely, and its answer is pending.
     Processing,
-    /// Its answer is decided and not yet written completely.
+    /// The answer is decided and has not been written completely.
     Answering,
-    /// All that came has its answer.
+    /// Every request is answered, and nothing of another one has been read.
     Idle,
-    /// Its sending has ended; what still comes is read and thrown away.
+    /// The sending side is shut down; further bytes are read and discarded.
     Closing,
 }
 
-/// What a connection's socket and its owner know of each other.
+/// Why no further request can be read from a connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FramingFault {
+    /// The body length of the current request can be read in two ways.
+    AmbiguousLength,
+    /// More bytes followed the current request than are buffered.
+    ExcessBytes,
+}
+
+/// How far the last answer on a connection has been handled.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum LastAnswer {
+    /// No answer has been written yet.
+    None,
+    /// It has been written, and the socket has not been read since.
+    Written,
+    /// It has been written, and the next request may be read.
+    Acknowledged,
+}
+
+/// The state of one client connection. Each method that changes it is named for the event that it records.
 pub struct ConnectionState {
     phase: Cell<Phase>,
     phase_since: Cell<Instant>,
-    has_ambiguous_length: Cell<bool>,
-    has_excess: Cell<bool>,
-    is_answer_written: Cell<bool>,
-    has_answered: Cell<bool>,
-    reader: RefCell<Option<Waker>>,
+    last_answer: Cell<LastAnswer>,
+    framing_fault: Cell<Option<FramingFault>>,
+    /// The reader that waits for the answer before it can read the next request.
+    waiting_reader: RefCell<Option<Waker>>,
 }
 
 impl ConnectionState {
@@ -39,89 +58,104 @@
         Rc::new(ConnectionState {
             phase: Cell::new(Phase::Silent),
             phase_since: Cell::new(Instant::now()),
-            has_ambiguous_length: Cell::new(false),
-            has_excess: Cell::new(false),
-            is_answer_written: Cell::new(false),
-            has_answered: Cell::new(false),
-            reader: RefCell::new(None),
+            last_answer: Cell::new(LastAnswer::None),
+            framing_fault: Cell::new(None),
+            waiting_reader: RefCell::new(None),
         })
     }
 
-    /// What the connection is doing.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// When it began to do that.
+    /// When the current phase began.
     pub fn phase_since(&self) -> Instant {
         self.phase_since.get()
     }
 
-    /// Enters a phase. What still comes of a request that is answered already does not open it again.
-    pub fn enter(&self, phase: Phase) {
-        let present = self.phase.get();
-        let ends_answer = matches!(phase, Phase::Idle | Phase::Closing);
-        if present != phase && (present != Phase::Answering || ends_answer) {
-            self.phase.set(phase);
-            self.phase_since.set(Instant::now());
-        }
+    /// Whether an answer has been written on the connection.
+    pub fn has_answered(&self) -> bool {
+        self.last_answer.get() != LastAnswer::None
     }
 
-    /// The present request's length can be read in two ways; nothing behind its head is passed on.
-    pub fn has_ambiguous_length(&self) -> bool {
-        self.has_ambiguous_length.get()
+    /// Why no further request can be read, if that is so.
+    pub fn framing_fault(&self) -> Option<FramingFault> {
+        self.framing_fault.get()
     }
 
-    /// Marks the present request's length as ambiguous.
-    pub fn set_ambiguous_length(&self) {
-        self.has_ambiguous_length.set(true);
+    /// Records that a part of a request has been received.
+    pub fn request_bytes_received(&self) {
+        match self.phase.get() {
+            Phase::Silent | Phase::Idle => self.enter(Phase::Receiving),
+            Phase::Receiving | Phase::Processing | Phase::Answering | Phase::Closing => {}
+        }
+    }
+
+    /// Records that a request has been received completely. The end of a request that was answered early does
+    /// not make its answer pending again.
+    pub fn request_completed(&self) {
+        if self.phase.get() == Phase::Receiving {
+            self.enter(Phase::Processing);
+        }
     }
 
-    /// More came behind the present request than is kept: its answer has to be the connection's last.
-    pub fn has_excess(&self) -> bool {
-        self.has_excess.get()
+    /// Records that the body length of the current request can be read in two ways.
+    pub fn ambiguous_length_found(&self) {
+        self.framing_fault.set(Some(FramingFault::AmbiguousLength));
     }
 
-    /// Marks that more came than is kept.
-    pub fn set_excess(&self) {
-        self.has_excess.set(true);
+    /// Records that bytes behind the current request have been dropped.
+    pub fn excess_bytes_dropped(&self) {
+        self.framing_fault.set(Some(FramingFault::ExcessBytes));
     }
 
-    /// The present request's answer is decided.
+    /// Records that the answer to the current request is decided.
     pub fn answer_decided(&self) {
         self.enter(Phase::Answering);
     }
 
-    /// All that was to be written has been; after an answer the next request may be read.
-    pub fn flushed(&self) {
+    /// Records that all output so far has been written. If that includes the answer, the connection becomes
+    /// idle, and its reader is woken.
+    pub fn output_flushed(&self) {
         if self.phase.get() != Phase::Answering {
             return;
         }
         self.enter(Phase::Idle);
-        self.is_answer_written.set(true);
-        self.has_answered.set(true);
-        if let Some(reader) = self.reader.borrow_mut().take() {
+        self.last_answer.set(LastAnswer::Written);
+        let reader = self.waiting_reader.take();
+        if let Some(reader) = reader {
             reader.wake();
         }
     }
 
-    /// Whether an answer has been written over the connection.
-    pub fn has_answered(&self) -> bool {
-        self.has_answered.get()
+    /// Records that the socket is read again. Returns whether an answer has been written since the last read,
+    /// so that the next request may be read.
+    pub fn acknowledge_answer(&self) -> bool {
+        let is_written = self.last_answer.get() == LastAnswer::Written;
+        if is_written {
+            self.last_answer.set(LastAnswer::Acknowledged);
+        }
+        is_written
     }
 
-    /// Whether an answer has been written since the last read.
-    pub fn is_answer_written(&self) -> bool {
-        self.is_answer_written.get()
+    /// Records that the sending side has been shut down. Returns whether that ended the connection with an
+    /// answer, which the client may not have read yet; a connection that was idle has had its answers read.
+    pub fn sending_shut_down(&self) -> bool {
+        let ends_with_answer = self.last_answer.get() == LastAnswer::Written;
+        if ends_with_answer && self.phase.get() != Phase::Closing {
+            self.enter(Phase::Closing);
+        }
+        ends_with_answer
     }
 
-    /// The same, and from here on none has.
-    pub fn take_answer_written(&self) -> bool {
-        self.is_answer_written.take()
+    /// Wakes the reader when the next answer has been written.
+    pub fn wake_reader_after_answer(&self, reader: Waker) {
+        self.waiting_reader.replace(Some(reader));
     }
 
-    /// Wakes this reader when an answer has been written.
-    pub fn wake_after_answer(&self, reader: Waker) {
-        *self.reader.borrow_mut() = Some(reader);
+    fn enter(&self, phase: Phase) {
+        self.phase.set(phase);
+        self.phase_since.set(Instant::now());
     }
 }
--- a/crates/balancer-agent/src/framing/parser.rs
+++ b/crates/balancer-agent/src/framing/parser.rs
@@ -1,38 +1,48 @@
-//! Reading heads and chunk lines of HTTP/1.1 requests from the bytes so far.
+//! Parses the head and the chunk lines of HTTP/1.1 requests that may be incomplete.
 
-/// Header lines that a head may have; hyper's own bound.
+/// How many header lines a head may have; hyper's own limit.
 const MAX_HEADERS: usize = 100;
 
-/// What the bytes so far are: a complete head with its length and that of its body, or less.
+/// The result of parsing a request's head. Lengths are in bytes.
 #[derive(Debug, PartialEq)]
 pub enum Head {
+    /// More bytes are needed.
     Partial,
+    /// The bytes are not the head of a request.
     Unreadable,
     /// The body's length can be read in two ways.
     Ambiguous {
+        /// The length of the head.
         head: usize,
     },
+    /// A body of known length follows, which may be empty.
     Sized {
+        /// The length of the head.
         head: usize,
+        /// The length of the body.
         body: u64,
     },
+    /// A chunked body follows.
     Chunked {
+        /// The length of the head.
         head: usize,
     },
 }
 
-/// What the bytes so far are of a chunked body: a chunk's line, or the end of the body.
+/// The result of parsing a chunk line of a chunked body. Lengths are in bytes.
 #[derive(Debug, PartialEq)]
 pub enum Chunk {
+    /// More bytes are needed.
     Partial,
+    /// The bytes are not a chunk line.
     Unreadable,
-    /// The length of the line, the chunk and its end.
+    /// The length of the line, the chunk and the line end behind it.
     Sized(u64),
-    /// The length of the last line and the trailers.
+    /// The length of the last chunk's line and the trailers.
     Last(usize),
 }
 
-/// Reads the head that the bytes begin with.
+/// Parses the head of a request at the start of the bytes.
 pub fn parse_head(bytes: &[u8]) -> Head {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -41,11 +51,9 @@
         Ok(httparse::Status::Partial) => return Head::Partial,
         Err(_) => return Head::Unreadable,
     };
-    let values = |name: &str| {
-        let named = request.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
-        named.map(|header| header.value).collect::<Vec<_>>()
-    };
-    match (values("content-length").as_slice(), values("transfer-encoding").as_slice()) {
+    let content_lengths = header_values(request.headers, "content-length");
+    let transfer_encodings = header_values(request.headers, "transfer-encoding");
+    match (content_lengths.as_slice(), transfer_encodings.as_slice()) {
         ([], []) => Head::Sized { head, body: 0 },
         ([length], []) => match parse_length(length) {
             Some(body) => Head::Sized { head, body },
@@ -56,19 +64,26 @@
     }
 }
 
-/// Reads the chunk line that the bytes begin with.
+/// The values of all headers of this name.
+fn header_values<'a>(headers: &[httparse::Header<'a>], name: &str) -> Vec<&'a [u8]> {
+    let named = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
+    named.map(|header| header.value).collect()
+}
+
+/// Parses the chunk line at the start of the bytes.
 pub fn parse_chunk(bytes: &[u8]) -> Chunk {
     match httparse::parse_chunk_size(bytes) {
         Ok(httparse::Status::Complete((line, 0))) => parse_trailers(&bytes[line..], line),
         Ok(httparse::Status::Complete((line, size))) => {
-            let length = size.checked_add((line + "\r\n".len()) as u64);
-            length.map_or(Chunk::Unreadable, Chunk::Sized)
+            let framing_length = (line + "\r\n".len()) as u64;
+            size.checked_add(framing_length).map_or(Chunk::Unreadable, Chunk::Sized)
         }
         Ok(httparse::Status::Partial) => Chunk::Partial,
         Err(_) => Chunk::Unreadable,
     }
 }
 
+/// Parses the trailers behind the last chunk's line, which has this length.
 fn parse_trailers(bytes: &[u8], last_line: usize) -> Chunk {
     let mut trailers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     match httparse::parse_headers(bytes, &mut trailers) {
@@ -78,7 +93,7 @@
     }
 }
 
-/// Digits and nothing else: no sign, no list, no blank in between.
+/// Parses a `Content-Length` of digits only; signs, lists and blanks are not accepted.
 fn parse_length(value: &[u8]) -> Option<u64> {
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     if !is_number {
--- a/crates/balancer-agent/src/framing/parser/tests.rs
+++ b/crates/balancer-agent/src/framing/parser/tests.rs
@@ -1,4 +1,4 @@
-//! Which lengths of a request are read, and which can be read in two ways.
+//! Body lengths that are accepted, and those that are ambiguous.
 
 use super::*;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn plain_lengths_are_read() {
+fn unambiguous_lengths_are_parsed() {
     assert_eq!(parse_with("Content-Length: 4\r\n"), Head::Sized { head: 41, body: 4 });
     assert_eq!(parse_with("A: b\r\n"), Head::Sized { head: 28, body: 0 });
     assert_eq!(parse_with("transfer-encoding: Chunked\r\n"), Head::Chunked { head: 50 });
--- a/crates/balancer-agent/src/listener/connection.rs
+++ b/crates/balancer-agent/src/listener/connection.rs
@@ -2,7 +2,7 @@
 
 use super::accept::{MIN_IDLE_TIME, MIN_SILENT_TIME};
 use super::{Listener, SHORT_SHARE};
-use crate::framing::{ClientStream, ConnectionState, Phase, MAX_HEAD};
+use crate::framing::{ClientStream, ConnectionState, Phase, MAX_HEAD_BYTES};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use std::pin::pin;
@@ -35,7 +35,7 @@
         let service =
             service_fn(move |request| listener.clone().handle_request(request, connection_state.clone()));
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_HEAD).max_header_size(MAX_HEAD);
+        builder.max_buf_size(MAX_HEAD_BYTES).max_header_size(MAX_HEAD_BYTES);
         let stream = ClientStream::new(stream, state.clone());
         let mut connection = pin!(builder.serve_connection(stream, service));
         let mut is_shutting_down = false;
--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -5,7 +5,7 @@
 use super::validation::{header_text, REQUEST_ID};
 use super::{Listener, CROWDED_SHARE};
 use crate::driver::Driver;
-use crate::framing::ConnectionState;
+use crate::framing::{ConnectionState, FramingFault};
 use balancer_core::RequestId;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
@@ -38,7 +38,7 @@
 
     /// Whether the present answer is the connection's last.
     fn is_closing(&self, connection: &ConnectionState) -> bool {
-        self.shutdown.has_started() || self.has_taken(CROWDED_SHARE) || connection.has_excess()
+        self.shutdown.has_started() || self.has_taken(CROWDED_SHARE) || connection.framing_fault().is_some()
     }
 
     async fn respond(
@@ -46,7 +46,7 @@
         request: Request<Incoming>,
         connection: &ConnectionState,
     ) -> Result<ClientResponse, InvalidRequest> {
-        if connection.has_ambiguous_length() {
+        if connection.framing_fault() == Some(FramingFault::AmbiguousLength) {
             return Err(InvalidRequest::AmbiguousLength);
         }
         if request.uri().path() == "/ready" {
