--- a/crates/balancer-agent/src/listener/open_requests.rs
+++ b/crates/balancer-agent/src/listener/open_requests.rs
@@ -1,32 +1,32 @@
-//! The ids of the requests that are open. Ids are new with every request; a second request under an open
-//! one's id would disturb the first.
+//! The ids of open requests. Clients use a new id for every request, so a second request with the id of an open
+//! one is an error, and would interfere with the first one at the server.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// Ids of open requests.
+/// The set of ids of open requests.
 #[derive(Default)]
 pub struct OpenRequestIds {
     ids: RefCell<HashSet<Box<str>>>,
 }
 
 impl OpenRequestIds {
-    /// Marks an id as open; none if it is already.
+    /// Adds an id; `None` if it is in the set already.
     pub fn open(&self, id: &str) -> Option<OpenRequestGuard<'_>> {
         let id: Box<str> = id.into();
         let is_new = self.ids.borrow_mut().insert(id.clone());
-        is_new.then(|| OpenRequestGuard { open: self, id })
+        is_new.then(|| OpenRequestGuard { open_ids: self, id })
     }
 }
 
-/// Keeps an id open; dropping it frees the id.
+/// Keeps an id in the set until it is dropped.
 pub struct OpenRequestGuard<'a> {
-    open: &'a OpenRequestIds,
+    open_ids: &'a OpenRequestIds,
     id: Box<str>,
 }
 
 impl Drop for OpenRequestGuard<'_> {
     fn drop(&mut self) {
-        self.open.ids.borrow_mut().remove(&self.id);
+        self.open_ids.ids.borrow_mut().remove(&self.id);
     }
 }
--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -1,76 +1,79 @@
-//! From a client's request to its answer.
+//! The handling of one client request, from its head to its answer.
 
 use super::invalid_request::InvalidRequest;
+use super::open_requests::OpenRequestIds;
 use super::response::{text_response, ClientResponse};
-use super::validation::{header_text, REQUEST_ID};
-use super::{Listener, CROWDED_SHARE};
+use super::shutdown::ShutdownSignal;
+use super::validation::{header_text, read_request, REQUEST_ID};
 use crate::driver::Driver;
 use crate::framing::{ConnectionState, FramingFault};
+use crate::request::ClientRequest;
 use balancer_core::RequestId;
 use hyper::body::Incoming;
-use hyper::header::{HeaderValue, CONNECTION};
 use hyper::{Request, StatusCode};
-use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout_at;
 
-/// The balancer ends each request by its deadline; should it not, the agent does, this much later.
+/// The path of readiness requests.
+const READINESS_PATH: &str = "/ready";
+/// The balancer answers each request by its deadline. If it does not, the request handler does, this much later.
 const DEADLINE_SLACK: Duration = Duration::from_millis(4);
 
-impl Listener {
-    pub(super) async fn handle_request(
-        self: Rc<Self>,
-        request: Request<Incoming>,
-        connection: Rc<ConnectionState>,
-    ) -> Result<ClientResponse, Infallible> {
-        let (mut response, is_last) = match self.respond(request, &connection).await {
-            Ok(response) => (response, self.is_closing(&connection)),
-            // After an invalid request the rest of the connection is not trusted.
-            Err(error) => (error.into(), true),
-        };
-        if is_last {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-        }
-        connection.answer_decided();
-        Ok(response)
-    }
+/// Validates requests, submits them to the driver and awaits their answers.
+pub struct RequestHandler {
+    driver: Rc<Driver>,
+    open_requests: OpenRequestIds,
+}
 
-    /// Whether the present answer is the connection's last.
-    fn is_closing(&self, connection: &ConnectionState) -> bool {
-        self.shutdown.has_started() || self.has_taken(CROWDED_SHARE) || connection.framing_fault().is_some()
+impl RequestHandler {
+    /// A handler that submits requests to this driver.
+    pub fn new(driver: Rc<Driver>) -> Self {
+        RequestHandler { driver, open_requests: OpenRequestIds::default() }
     }
 
-    async fn respond(
+    /// Answers a request.
+    ///
+    /// # Errors
+    ///
+    /// If the request is invalid; it has not been submitted then.
+    pub async fn handle(
         &self,
         request: Request<Incoming>,
         connection: &ConnectionState,
+        shutdown: &ShutdownSignal,
     ) -> Result<ClientResponse, InvalidRequest> {
         if connection.framing_fault() == Some(FramingFault::AmbiguousLength) {
             return Err(InvalidRequest::AmbiguousLength);
         }
-        if request.uri().path() == "/ready" {
-            return Ok(self.readiness());
+        if request.uri().path() == READINESS_PATH {
+            return Ok(self.readiness(shutdown));
         }
-        let request = self.read_request(request).await?;
+        let request = read_request(request, &self.driver).await?;
         let id = header_text(&request.headers, REQUEST_ID).unwrap_or_default();
-        let _open = self.open_requests.open(id).ok_or(InvalidRequest::RequestIdInUse)?;
+        let _id_guard = self.open_requests.open(id).ok_or(InvalidRequest::RequestIdInUse)?;
+        Ok(self.balance(request, shutdown).await)
+    }
+
+    /// Has a valid request balanced, and awaits its answer until the request's deadline or the end of a
+    /// shutdown.
+    async fn balance(&self, request: ClientRequest, shutdown: &ShutdownSignal) -> ClientResponse {
         let deadline = request.deadline;
         let (id, answer) = self.driver.submit(request);
-        let _guard = DisconnectGuard { driver: &self.driver, id };
+        let _disconnect_guard = DisconnectGuard { driver: &self.driver, id };
         let answer = tokio::select! {
             answer = timeout_at(deadline + DEADLINE_SLACK, answer) => answer.ok(),
-            () = self.shutdown.answers_due() => None,
+            () = shutdown.answers_due() => None,
         };
-        Ok(match answer {
+        match answer {
             Some(Ok(answer)) => answer.into(),
             Some(Err(_)) => text_response(StatusCode::BAD_GATEWAY, "no answer was decided"),
             None => text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
-        })
+        }
     }
 
-    fn readiness(&self) -> ClientResponse {
-        if self.driver.is_ready() && !self.shutdown.has_started() {
+    fn readiness(&self, shutdown: &ShutdownSignal) -> ClientResponse {
+        if self.driver.is_ready() && !shutdown.has_started() {
             text_response(StatusCode::OK, "ready")
         } else {
             text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
@@ -78,8 +81,8 @@
     }
 }
 
-/// Tells the balancer if a request ends without having been given its answer. When the client leaves, hyper
-/// drops the future that holds this.
+/// Tells the driver that nobody waits for a request's answer any more. When a client disconnects, hyper drops
+/// the future that holds this guard. For a request that has been answered the driver does nothing.
 struct DisconnectGuard<'a> {
     driver: &'a Rc<Driver>,
     id: RequestId,
--- a/crates/balancer-agent/src/listener/tests.rs
+++ b/crates/balancer-agent/src/listener/tests.rs
@@ -1,7 +1,6 @@
-//! One client's connection: options that cannot be set, shutdown, and eviction, each as bytes cross it.
+//! One client connection: socket options that cannot be set, read timeouts, shutdown and eviction.
 
-use super::connection::{CLOSE_TIMEOUT, READ_TIMEOUT};
-use super::shutdown::ShutdownSchedule;
+use super::time_limits::{CLOSE_TIMEOUT, READ_TIMEOUT};
 use super::*;
 use crate::config::Config;
 use crate::endpoint_list::EndpointList;
@@ -12,41 +11,47 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
-use std::pin::{pin, Pin};
+use std::pin::Pin;
 use std::task::Poll;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::task::LocalSet;
-use tokio::time::{sleep, Instant};
+use tokio::time::sleep;
 
 const REQUEST: &[u8] = b"GET /read HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: read\r\n\
     X-Timeout: 900m\r\n\r\n";
 const READINESS_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
-/// The runtime looks at its sockets within this.
+/// The runtime has seen bytes on its sockets after this time.
 const SOCKET_POLL_TIME: Duration = Duration::from_millis(5);
 
-fn stream_of(socket: UnixStream) -> TcpStream {
+fn tcp_stream(socket: UnixStream) -> TcpStream {
     let stream = std::net::TcpStream::from(OwnedFd::from(socket));
-    stream.set_nonblocking(true).expect("it does not block");
+    stream.set_nonblocking(true).expect("a non-blocking socket");
     TcpStream::from_std(stream).expect("a stream")
 }
 
-/// Both ends of a connection that knows no option of TCP, so that setting one fails.
-fn connection_without_options() -> (TcpStream, TcpStream) {
-    let (own, clients) = UnixStream::pair().expect("a pair");
-    let probe = stream_of(own.try_clone().expect("a clone"));
-    assert!(probe.set_nodelay(true).is_err());
-    (stream_of(own), stream_of(clients))
+/// Both ends of a connection that has no TCP options, so that setting one fails.
+struct SocketPair {
+    agent_end: TcpStream,
+    client_end: TcpStream,
 }
 
-/// A listener that knows the class `read` and no server.
-fn listener() -> Rc<Listener> {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+impl SocketPair {
+    fn without_tcp_options() -> Self {
+        let (agent_end, client_end) = UnixStream::pair().expect("a pair");
+        let probe = tcp_stream(agent_end.try_clone().expect("a clone"));
+        assert!(probe.set_nodelay(true).is_err());
+        SocketPair { agent_end: tcp_stream(agent_end), client_end: tcp_stream(client_end) }
+    }
+}
+
+/// A listener whose agent has the class `read` and no server.
+fn start_listener() -> Rc<Listener> {
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 0));
     let host_settings = HostSettings::from(&WireSettings::default());
     let config = Config {
         name: "agent".into(),
-        listen: nowhere,
-        discovery: nowhere,
+        listen: unused_address,
+        discovery: unused_address,
         seed: 1,
         max_sockets: 100,
         settings: Settings::default(),
@@ -56,130 +61,150 @@
     Listener::new(Driver::start(config, 10).expect("a driver"), 10, Duration::from_secs(1))
 }
 
-/// Polls a connection once; whether it goes on.
-async fn goes_on(connection: &mut Pin<&mut impl Future<Output = ()>>) -> bool {
-    poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx).is_pending())).await
+/// A connection that a test polls by hand.
+struct TestConnection {
+    client: TcpStream,
+    table_entry: Rc<ClientConnection>,
+    serving: Pin<Box<dyn Future<Output = ()>>>,
 }
 
-/// Lets time pass, in which the connection must go on.
-async fn goes_on_for(time: Duration, connection: &mut Pin<&mut impl Future<Output = ()>>) {
-    tokio::select! {
-        () = connection.as_mut() => panic!("it has closed"),
-        () = sleep(time) => {}
+impl TestConnection {
+    /// Opens a connection to the listener.
+    fn open(listener: &Rc<Listener>) -> Self {
+        let SocketPair { agent_end, client_end } = SocketPair::without_tcp_options();
+        let table_entry = listener.connections.open();
+        let serving = Box::pin(listener.clone().serve_connection(agent_end, table_entry.clone()));
+        TestConnection { client: client_end, table_entry, serving }
     }
-}
 
-/// Polls a connection until it is in a phase.
-async fn reach(phase: Phase, connection: &mut Pin<&mut impl Future<Output = ()>>, state: &ConnectionState) {
-    while state.phase() != phase {
-        assert!(goes_on(connection).await);
-        tokio::task::yield_now().await;
+    fn phase(&self) -> Phase {
+        self.table_entry.state().phase()
+    }
+
+    /// Writes bytes at the client's end.
+    async fn send(&mut self, bytes: &[u8]) {
+        self.client.write_all(bytes).await.expect("the bytes are written");
+    }
+
+    /// Polls the serving once. Returns whether the connection is still open.
+    async fn poll_once(&mut self) -> bool {
+        poll_fn(|cx| Poll::Ready(self.serving.as_mut().poll(cx).is_pending())).await
+    }
+
+    /// Lets time pass, in which the connection must stay open.
+    async fn stay_open_for(&mut self, time: Duration) {
+        tokio::select! {
+            () = self.serving.as_mut() => panic!("it has closed"),
+            () = sleep(time) => {}
+        }
+    }
+
+    /// Polls the serving until the connection is in this phase.
+    async fn reach(&mut self, phase: Phase) {
+        while self.phase() != phase {
+            assert!(self.poll_once().await);
+            tokio::task::yield_now().await;
+        }
     }
 }
 
 #[tokio::test]
-async fn a_client_is_answered_even_if_an_option_of_its_socket_cannot_be_set() {
-    let play = async {
-        let (stream, mut client) = connection_without_options();
-        let request = b"GET /ready HTTP/1.1\r\nhost: a\r\n\r\n";
-        client.write_all(request).await.expect("it is written");
+async fn a_client_is_answered_if_its_socket_options_cannot_be_set() {
+    let scenario = async {
+        let mut connection = TestConnection::open(&start_listener());
+        connection.send(b"GET /ready HTTP/1.1\r\nhost: a\r\n\r\n").await;
         let mut answer = [0; 12];
 
         tokio::select! {
-            () = listener().serve_connection(stream, ConnectionState::new(), Rc::default()) => {}
-            read = client.read_exact(&mut answer) => assert!(read.is_ok()),
+            () = connection.serving.as_mut() => {}
+            read = connection.client.read_exact(&mut answer) => assert!(read.is_ok()),
         }
 
         assert_eq!(&answer, b"HTTP/1.1 503");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// A request that comes behind the last answer, over a connection whose sending has ended, is neither
-/// accepted nor answered: its client asks again over another one. The connection does not stay for a client
-/// that stays.
+/// A request that arrives after the last answer, when the sending side of its connection is shut down, is
+/// neither accepted nor answered: its client retries it over another connection. If the client does not close
+/// the connection, the agent does.
 #[tokio::test(start_paused = true)]
-async fn a_request_behind_the_last_answer_is_not_accepted() {
-    let play = async {
-        let (stream, mut client) = connection_without_options();
-        let state = ConnectionState::new();
-        let mut connection = pin!(listener().serve_connection(stream, state.clone(), Rc::default()));
-        let last_request = b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
-        client.write_all(last_request).await.expect("it is written");
-        reach(Phase::Closing, &mut connection, &state).await;
-
-        client.write_all(REQUEST).await.expect("it is written");
+async fn a_request_after_the_last_answer_is_not_accepted() {
+    let scenario = async {
+        let mut connection = TestConnection::open(&start_listener());
+        connection.send(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n").await;
+        connection.reach(Phase::Closing).await;
+
+        connection.send(REQUEST).await;
         let closing_since = Instant::now();
-        connection.await;
+        connection.serving.as_mut().await;
 
         assert!(closing_since.elapsed() <= 2 * CLOSE_TIMEOUT);
         let mut answers = String::new();
-        // A close over bytes that nobody has read would be an error here.
-        client.read_to_string(&mut answers).await.expect("a plain end");
+        // Had the agent closed with unread bytes, this would be an error.
+        connection.client.read_to_string(&mut answers).await.expect("the end of the stream");
         assert_eq!(answers.matches("HTTP/1.1 ").count(), 1, "{answers}");
-        assert_eq!(state.phase(), Phase::Closing);
+        assert_eq!(connection.phase(), Phase::Closing);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// A request that has come by the time the shutdown is seen is accepted before its resting connection closes.
+/// A request that has been received when the shutdown is noticed is accepted before its idle connection is
+/// closed.
 #[tokio::test]
-async fn a_request_ahead_of_the_shutdown_is_accepted() {
-    let play = async {
-        let (stream, mut client) = connection_without_options();
-        let (listener, state) = (listener(), ConnectionState::new());
-        let mut connection = pin!(listener.clone().serve_connection(stream, state.clone(), Rc::default()));
-        client.write_all(READINESS_REQUEST).await.expect("it is written");
-        reach(Phase::Idle, &mut connection, &state).await;
-
-        client.write_all(REQUEST).await.expect("it is written");
+async fn a_request_received_before_the_shutdown_is_accepted() {
+    let scenario = async {
+        let listener = start_listener();
+        let mut connection = TestConnection::open(&listener);
+        connection.send(READINESS_REQUEST).await;
+        connection.reach(Phase::Idle).await;
+
+        connection.send(REQUEST).await;
         let now = Instant::now();
         let answer_by = now + Duration::from_secs(60);
         listener.shutdown.start(ShutdownSchedule { accept_until: now, answer_by });
         sleep(SOCKET_POLL_TIME).await;
 
-        assert!(goes_on(&mut connection).await, "it has closed");
-        assert_eq!(state.phase(), Phase::Processing);
+        assert!(connection.poll_once().await, "it has closed");
+        assert_eq!(connection.phase(), Phase::Processing);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// A request that begins shortly before the time for the connection's first request would be over has its own time.
+/// The read timeout of a connection's first request, which counts from the accept, does not apply to a later
+/// request that begins shortly before it would expire.
 #[tokio::test(start_paused = true)]
-async fn a_later_request_is_not_cut_off_by_the_time_of_the_first() {
-    let play = async {
-        let (stream, mut client) = connection_without_options();
-        let state = ConnectionState::new();
-        let mut connection = pin!(listener().serve_connection(stream, state.clone(), Rc::default()));
-        client.write_all(READINESS_REQUEST).await.expect("it is written");
-        reach(Phase::Idle, &mut connection, &state).await;
-        goes_on_for(READ_TIMEOUT.mul_f64(0.98), &mut connection).await;
+async fn a_later_request_has_a_read_timeout_of_its_own() {
+    let scenario = async {
+        let mut connection = TestConnection::open(&start_listener());
+        connection.send(READINESS_REQUEST).await;
+        connection.reach(Phase::Idle).await;
+        connection.stay_open_for(READ_TIMEOUT.mul_f64(0.98)).await;
 
         let (first_half, second_half) = REQUEST.split_at(REQUEST.len() / 2);
-        client.write_all(first_half).await.expect("it is written");
-        goes_on_for(READ_TIMEOUT / 2, &mut connection).await;
-        client.write_all(second_half).await.expect("it is written");
+        connection.send(first_half).await;
+        connection.stay_open_for(READ_TIMEOUT / 2).await;
+        connection.send(second_half).await;
 
-        reach(Phase::Processing, &mut connection, &state).await;
+        connection.reach(Phase::Processing).await;
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// A silent connection is evicted, and its first request has come by the time it looks.
+/// The eviction of a silent connection is requested, and its first request has been received by the time its
+/// task runs.
 #[tokio::test]
-async fn a_connection_with_a_request_at_its_eviction_stays() {
-    let play = async {
-        let (stream, mut client) = connection_without_options();
-        let (state, eviction) = (ConnectionState::new(), Rc::<Notify>::default());
-        let mut connection = pin!(listener().serve_connection(stream, state.clone(), eviction.clone()));
-        assert!(goes_on(&mut connection).await);
-
-        client.write_all(REQUEST).await.expect("it is written");
-        eviction.notify_one();
+async fn a_connection_that_receives_a_request_before_its_eviction_stays_open() {
+    let scenario = async {
+        let mut connection = TestConnection::open(&start_listener());
+        assert!(connection.poll_once().await);
+
+        connection.send(REQUEST).await;
+        connection.table_entry.evict();
         sleep(SOCKET_POLL_TIME).await;
 
-        assert!(goes_on(&mut connection).await, "it has closed");
-        assert_eq!(state.phase(), Phase::Processing);
+        assert!(connection.poll_once().await, "it has closed");
+        assert_eq!(connection.phase(), Phase::Processing);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
