--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -1,5 +1,4 @@
-//! Attempts at the servers: what is forwarded, which failures are retried, and what the client is answered
-//! when no attempt succeeds.
+//! Attempts: what is forwarded to servers, which failures are retried, and the answer when no attempt succeeds.
 
 mod common;
 use common::agent::Agent;
@@ -17,7 +16,7 @@
 #[tokio::test]
 async fn requests_and_responses_are_forwarded_unchanged() {
     let mut server = TestServer::responding_with("body of the answer").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
     let request = post_request("/save/x?key=7f&more=%20", "2000m", "the body");
 
     let response = agent.exchange(&request).await;
@@ -25,23 +24,23 @@
     assert_eq!((response.status(), response.body.as_slice()), (200, b"body of the answer".as_slice()));
     let forwarded = server.next_request().await;
     assert_eq!(forwarded.first_line(), "POST /save/x?key=7f&more=%20 HTTP/1.1");
-    let request_id = forwarded.header("x-request-id").expect("an id");
+    let request_id = forwarded.header("x-request-id").expect("a request id");
     assert!(request.contains(&format!("X-Request-ID: {request_id}\r\n")));
     assert_eq!(forwarded.header("idempotency-key"), Some("k1"));
     assert_eq!(forwarded.body, b"the body");
     let timeout = forwarded.header("x-timeout").and_then(|value| value.strip_suffix('u')).expect("a timeout");
     let timeout: u64 = timeout.parse().expect("microseconds");
-    assert!(timeout > 0 && timeout < 2_000_000, "{timeout}: less than the client waits");
+    assert!(timeout > 0 && timeout < 2_000_000, "{timeout}: must be less than the client's timeout");
 }
 
-/// An unsafe request whose connection breaks after its last byte may have been processed: it is neither
-/// retried nor rejected, for after a rejection the client would repeat it.
+/// An unsafe request whose connection breaks after its last byte may have been processed. It is neither retried
+/// nor rejected, as the client may retry a rejected request.
 #[tokio::test]
-async fn an_unsafe_request_is_not_retried_after_a_reset_behind_its_last_byte() {
+async fn an_unsafe_request_is_not_retried_if_the_connection_breaks_after_its_last_byte() {
     assert_not_retried(ServerReply::Close(Vec::new())).await;
 }
 
-/// After a refused connect a request was not processed, whatever its class.
+/// After a refused connect a request has not been processed, so that any class may be retried.
 #[tokio::test]
 async fn an_unsafe_request_is_retried_elsewhere_after_a_refused_connect() {
     let mut server = TestServer::responding_with("x").await;
@@ -57,17 +56,17 @@
     }
 }
 
-/// Only `X-Not-Processed: 1` proves that a request was not processed; a plain 503 may come from something
-/// that did.
+/// Only `X-Not-Processed: 1` proves that a request was not processed; a plain 503 may have been sent after the
+/// request was processed.
 #[tokio::test]
 async fn an_unsafe_request_is_not_retried_after_a_plain_503() {
     assert_not_retried(ServerReply::KeepOpen(PLAIN_503.to_vec())).await;
 }
 
-/// Asserts that an unsafe request to which the only server replies so is sent once, and answered as failed.
+/// Asserts that an unsafe request is sent once and answered as failed if the only server sends this reply.
 async fn assert_not_retried(reply: ServerReply) {
     let mut server = TestServer::start(move |_| reply.clone()).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
 
@@ -81,19 +80,19 @@
     let rejection = ServerReply::KeepOpen(NOT_PROCESSED_503.to_vec());
     let success = ServerReply::KeepOpen(ok_response("x"));
     let mut server = TestServer::replying_in_turn(vec![rejection, success]).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
 
     assert_eq!(response.status(), 200);
     let first_attempt = server.next_request().await;
-    let request_id = first_attempt.header("x-request-id").expect("an id");
+    let request_id = first_attempt.header("x-request-id").expect("a request id");
     let retry = server.next_request().await;
     assert_eq!(retry.header("x-request-id"), Some(request_id));
-    assert_eq!(retry.connection, 0, "a rejection costs no connection");
+    assert_eq!(retry.connection, 0, "a rejection must not close the connection");
 }
 
-/// A retry must be sent within its deduplication window. One whose connect may succeed after it is not
+/// A retry must be sent within its deduplication window. One whose connect may succeed after the window is not
 /// started.
 #[tokio::test]
 async fn a_retry_that_may_miss_its_deduplication_window_is_not_started() {
@@ -101,13 +100,14 @@
     assert!(starts_retry_with_window_ms(60_000).await);
 }
 
-/// Whether a request whose first attempt failed is retried at a server whose connect may take 20 s.
+/// Whether a failed request is retried with this window, where a connect to the next server may take 20 s.
 async fn starts_retry_with_window_ms(deduplication_window_ms: u64) -> bool {
     let gate = ResponseGate::default();
-    let malformed = ServerReply::WhenReleased(gate.clone(), b"\0\xff\r\n\r\n".to_vec());
-    let mut first_server = TestServer::start(move |_| malformed.clone()).await;
+    let malformed_reply = ServerReply::WhenReleased(gate.clone(), b"\0\xff\r\n\r\n".to_vec());
+    let mut first_server = TestServer::start(move |_| malformed_reply.clone()).await;
     let next_server = FullListener::start().await;
-    let (mut discovery, agent) = start_watching_agent(first_server.address, |config| {
+    let mut discovery = TestDiscovery::without_updates().await;
+    let agent = start_watching_agent(&mut discovery, first_server.address, |config| {
         config
             .with_connect_timeout_ms(20_000)
             .with_deduplication_window_ms(RequestClass::Save, deduplication_window_ms)
@@ -124,13 +124,13 @@
     tokio::select! {
         () = wait_for_connect_in_progress(next_server.address) => true,
         response = client.receive() => {
-            assert_eq!(response.status(), 429, "all servers drop its repeats, so it may come again");
+            assert_eq!(response.status(), 429, "servers deduplicate the request, so the client may retry it");
             false
         }
     }
 }
 
-/// What the endpoint list says of a server that must not get the requests that were meant for it.
+/// A change of a server's entry in the endpoint list after which no open request may be sent to it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ServerChange {
     Draining,
@@ -149,7 +149,7 @@
         ServerChange::Moved,
     ];
 
-    /// The server's entry after the change, if it has one.
+    /// The server's entry after the change; `None` if it is no longer listed.
     fn entry(self, address: SocketAddr, new_address: SocketAddr) -> Option<Value> {
         match self {
             ServerChange::Draining => Some(endpoint_entry(SERVER_NAME, address, Health::Draining)),
@@ -165,16 +165,19 @@
     }
 }
 
-/// The connect succeeds after the list has told that its server drains, has left, was started anew or has
-/// moved: the attempt looks again, writes nothing there, and the request goes elsewhere.
+/// A connect succeeds after the endpoint list has changed the server's entry. The attempt writes nothing to the
+/// connection, and the request is sent to another server.
 #[tokio::test]
 async fn a_request_is_rerouted_if_its_server_leaves_the_list_during_the_connect() {
     let mut other_server = TestServer::responding_with("other").await;
     let new_address = RefusingAddress::reserve();
     for change in ServerChange::ALL {
         let listener = FullListener::start().await;
-        let (mut discovery, agent) =
-            start_watching_agent(listener.address, |config| config.with_connect_timeout_ms(20_000)).await;
+        let mut discovery = TestDiscovery::without_updates().await;
+        let agent = start_watching_agent(&mut discovery, listener.address, |config| {
+            config.with_connect_timeout_ms(20_000)
+        })
+        .await;
         let mut client = agent.send_request(&post_request("/pay", "20000m", "b")).await;
         wait_for_connect_in_progress(listener.address).await;
 
@@ -184,9 +187,9 @@
         discovery.next_call().await;
         let mut stream = listener.accept_waiting_connection().await;
 
-        let written = within_time_limit("its end", read_message(&mut stream, 0)).await;
+        let written = within_time_limit("the end of the connection", read_message(&mut stream, 0)).await;
         assert!(written.is_none(), "{change:?}: {}", written.expect("a message").first_line());
-        // The request may go to the new incarnation instead, which nobody answers for here.
+        // The request may be sent to the new incarnation instead, which this test does not answer for.
         if change != ServerChange::NewIncarnation {
             assert_eq!(client.receive().await.body, b"other", "{change:?}");
             other_server.next_request().await;
@@ -194,13 +197,12 @@
     }
 }
 
-/// What the balancer gives up is answered at once, and a client is told when to come back where the settings
-/// allow that, and nowhere else.
+/// A request that the balancer rejects is answered at once, with `Retry-After` only if the settings allow it.
 #[tokio::test]
 async fn a_rejection_carries_retry_after_only_where_the_settings_allow_it() {
     let server = TestServer::start(|_| ServerReply::KeepOpen(NOT_PROCESSED_503.to_vec())).await;
     for is_allowed in [true, false] {
-        let (_discovery, agent) =
+        let agent =
             start_configured_agent(server.address, |config| config.with_retry_after(is_allowed)).await;
 
         let response = agent.exchange(&get_request("/read", "2000m")).await;
--- a/crates/balancer-agent/tests/client_connections.rs
+++ b/crates/balancer-agent/tests/client_connections.rs
@@ -1,23 +1,22 @@
-//! Connections from clients: reuse, pipelining, slow senders, and what idle, silent or flooding clients may
-//! not cost the others.
+//! Client connections: reuse, pipelining, slow senders, and the limits on idle, silent and flooding clients.
 
 mod common;
 use common::agent::{Agent, PROGRAM};
 use common::config::{AgentConfig, ConfigFile};
 use common::discovery::{up_entry, TestDiscovery};
 use common::messages::{chunked_post_request, get_request, ok_response, post_request};
-use common::server::{ServerReply, TestServer};
+use common::server::{ResponseGate, ServerReply, TestServer};
 use common::setup::{start_agent, start_agent_with_few_sockets, SERVER_NAME};
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::process::Command;
 
-/// Requests written back to back are answered one by one, in their order.
+/// Pipelined requests are answered one by one, in order.
 #[tokio::test]
 async fn pipelined_requests_are_answered_in_order() {
     let server = TestServer::start(|request| ServerReply::KeepOpen(ok_response(request.first_line()))).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
     let requests = [
         get_request("/read/1", "5000m"),
         post_request("/save/2", "5000m", "the body"),
@@ -33,16 +32,16 @@
     }
 }
 
-/// A request that comes in pieces, slowly, is served as if it had come at once.
+/// A request that is received slowly, in small pieces, is served.
 #[tokio::test]
 async fn a_request_received_in_small_pieces_is_served() {
     let mut server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
     let mut client = agent.connect().await;
     client.stream.set_nodelay(true).expect("an option");
 
     for piece in post_request("/save/x", "5000m", "the body").as_bytes().chunks(20) {
-        client.stream.write_all(piece).await.expect("the agent reads");
+        client.stream.write_all(piece).await.expect("the bytes are written");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
@@ -50,11 +49,11 @@
     assert_eq!(server.next_request().await.body, b"the body");
 }
 
-/// What a chunked request's connection brings next is another request, and both are answered.
+/// A second request on the connection of a chunked one is answered as well.
 #[tokio::test]
 async fn a_connection_is_reused_after_a_chunked_request() {
     let mut server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
     let mut client = agent.connect().await;
 
     for trailer in ["", "X-Trailer: t\r\n"] {
@@ -65,13 +64,12 @@
     }
 }
 
-/// Connections that sent one request and stayed, and others that never sent a byte, are not kept for long:
-/// there are more of them than the agent can keep, and a client that comes after them is still served in
-/// time.
+/// Clients open more connections than the agent can hold. Half stay idle after one request, and half never send
+/// a byte. The agent closes enough of them to serve each new client in time.
 #[tokio::test]
 async fn idle_and_silent_connections_are_closed_to_make_room() {
     let server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent_with_few_sockets(server.address).await;
+    let agent = start_agent_with_few_sockets(server.address).await;
 
     let mut clients = Vec::new();
     for _ in 0..60 {
@@ -85,12 +83,13 @@
     }
 }
 
-/// A connection is not closed for want of room while a request of it is open.
+/// A connection with an open request is not evicted when all slots are in use.
 #[tokio::test]
-async fn a_connection_with_an_open_request_is_not_closed_to_make_room() {
+async fn a_connection_with_an_open_request_is_not_evicted() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
-    let (mut server, gate) = TestServer::holding_payments(ok_response("paid"), other_reply).await;
-    let (_discovery, agent) = start_agent_with_few_sockets(server.address).await;
+    let gate = ResponseGate::default();
+    let mut server = TestServer::holding_payments(&gate, ok_response("paid"), other_reply).await;
+    let agent = start_agent_with_few_sockets(server.address).await;
     let mut paying_client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     server.next_request().await;
 
@@ -104,22 +103,22 @@
     assert_eq!(paying_client.receive().await.body, b"paid");
 }
 
-/// Sends a request with many bytes behind it and disconnects at once, by a reset or by a close.
+/// Sends a request followed by excess bytes, and disconnects at once by a reset or a close.
 async fn send_excess_bytes(agent: &Agent, excess: &[u8], is_reset: bool) {
     let mut client = agent.send_request(&get_request("/read/flood", "20000m")).await;
-    // The agent may end the connection before all of it is out.
+    // Fails if the agent closes the connection before all bytes are written.
     let _ = client.stream.write_all(excess).await;
     if is_reset {
         client.stream.set_zero_linger().expect("an option");
     }
 }
 
-/// More clients than the agent can keep connections send much behind one request and disconnect. Those who
-/// send valid requests are served meanwhile, memory stays small, and nothing of the excess is forwarded.
+/// More clients than the agent can hold connections send excess bytes after a request and disconnect. Valid
+/// requests are still served, memory use stays low, and no excess bytes are forwarded.
 #[tokio::test]
 async fn a_flood_of_excess_bytes_exhausts_neither_connections_nor_memory() {
     let mut server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent_with_few_sockets(server.address).await;
+    let agent = start_agent_with_few_sockets(server.address).await;
     let excess = vec![b'x'; 256 << 10];
 
     for number in 0..100 {
@@ -149,12 +148,12 @@
     command
 }
 
-/// With no descriptor left for another connection the agent goes on, and serves again when there are some.
+/// While no file descriptor is free the agent keeps running, and it accepts connections again once some are.
 #[tokio::test]
-async fn running_out_of_file_descriptors_is_survived() {
+async fn the_agent_recovers_from_running_out_of_file_descriptors() {
     let server = TestServer::responding_with("x").await;
     let discovery = TestDiscovery::silent().await;
-    // The configuration promises more descriptors than there are.
+    // The configuration states more descriptors than the process may open.
     let config = AgentConfig::new(discovery.address, &[up_entry(SERVER_NAME, server.address)]);
     let config_file = ConfigFile::create(&config.to_text());
     let mut agent = Agent::spawn(command_with_few_descriptors(&config_file), config_file).await;
@@ -163,13 +162,13 @@
     for _ in 0..60 {
         clients.push(agent.connect().await);
     }
-    // The agent has accepted the first ones. The last waits in the backlog and has no descriptor at the
-    // agent.
+    // The agent has accepted the first connections. The last one is in the backlog and has no descriptor in
+    // the agent.
     let mut last = clients.pop().expect("a connection");
     last.send(&get_request("/read", "60000m")).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(clients);
 
     assert_eq!(last.receive().await.status(), 200);
-    assert!(agent.process.try_wait().expect("a status").is_none(), "it still runs");
+    assert!(agent.process.try_wait().expect("a status").is_none(), "the agent has exited");
 }
--- a/crates/balancer-agent/tests/client_disconnects.rs
+++ b/crates/balancer-agent/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their requests are open: what has not been sent by then stays unsent.
+//! Clients that disconnect while their requests are open: an attempt that has not been sent is cancelled.
 
 mod common;
 use common::agent::Agent;
@@ -7,14 +7,14 @@
 use common::messages::{
     chunked_post_request, get_request, ok_response, post_request, read_message, NOT_PROCESSED_503,
 };
-use common::server::{ServerReply, TestServer};
+use common::server::{ResponseGate, ServerReply, TestServer};
 use common::setup::{start_agent, start_configured_agent};
 use common::sockets::FullListener;
 use common::within_time_limit;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// How a client disconnects, and how many bytes it sends behind its request before.
+/// How a client disconnects, and how many excess bytes it sends before.
 #[derive(Clone, Copy)]
 struct Disconnect {
     description: &'static str,
@@ -25,18 +25,18 @@
 const DISCONNECTS: [Disconnect; 6] = [
     Disconnect { description: "a close", excess_bytes: 0, is_reset: false },
     Disconnect { description: "a reset", excess_bytes: 0, is_reset: true },
-    Disconnect { description: "a close behind a few bytes", excess_bytes: 5, is_reset: false },
-    Disconnect { description: "a reset behind a few bytes", excess_bytes: 5, is_reset: true },
-    Disconnect { description: "a close behind a burst", excess_bytes: 200 << 10, is_reset: false },
-    Disconnect { description: "a reset behind a burst", excess_bytes: 200 << 10, is_reset: true },
+    Disconnect { description: "a close after a few bytes", excess_bytes: 5, is_reset: false },
+    Disconnect { description: "a reset after a few bytes", excess_bytes: 5, is_reset: true },
+    Disconnect { description: "a close after a burst", excess_bytes: 200 << 10, is_reset: false },
+    Disconnect { description: "a reset after a burst", excess_bytes: 200 << 10, is_reset: true },
 ];
 
 impl Disconnect {
-    /// Disconnects the client; the agent has seen it when this returns.
+    /// Disconnects the client, and returns once the agent has noticed.
     async fn apply(self, agent: &Agent, mut client: Client) {
         let Disconnect { description, excess_bytes, is_reset } = self;
         let written = client.stream.write_all(&vec![b'x'; excess_bytes]).await;
-        written.unwrap_or_else(|error| panic!("{description}: not read: {error}"));
+        written.unwrap_or_else(|error| panic!("{description}: not written: {error}"));
         if is_reset {
             client.stream.set_zero_linger().expect("an option");
             drop(client);
@@ -44,19 +44,20 @@
             client.stream.shutdown().await.expect("the client disconnects");
             client.wait_for_close().await;
         }
-        // A later event than the client's end, on the one thread that the agent has.
+        // The agent has one thread, which handles this request after the disconnect.
         assert_eq!(agent.readiness_status().await, 200, "{description}");
     }
 }
 
-/// An attempt that is in flight goes on, its outcome counts, and its connection serves the next request.
+/// An attempt in flight is completed, and its connection is reused.
 #[tokio::test]
 async fn an_attempt_in_flight_completes_and_its_connection_is_reused() {
-    // Not to be used again, so that the first connection is the only one that can be.
-    let closing = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".to_vec();
-    let (mut server, gate) =
-        TestServer::holding_payments(ok_response("x"), ServerReply::KeepOpen(closing)).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    // Other connections are closed after one response, so that only the first one can be reused.
+    let closing_response = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".to_vec();
+    let gate = ResponseGate::default();
+    let mut server =
+        TestServer::holding_payments(&gate, ok_response("x"), ServerReply::KeepOpen(closing_response)).await;
+    let agent = start_agent(server.address).await;
     let mut client = agent.send_request(&post_request("/pay", "2000m", "b")).await;
     assert_eq!(server.next_request().await.connection, 0);
 
@@ -64,8 +65,8 @@
     client.wait_for_close().await;
     gate.release_one();
 
-    // The response must have come back to the agent before its connection can serve again.
-    within_time_limit("the connection's second use", async {
+    // The connection can only be reused after the agent has received the response.
+    within_time_limit("the reuse of the connection", async {
         loop {
             assert_eq!(agent.exchange(&get_request("/read", "2000m")).await.status(), 200);
             if server.next_request().await.connection == 0 {
@@ -76,8 +77,8 @@
     .await;
 }
 
-/// The request has been sent, its client disconnects, and then the request is rejected as not processed: it
-/// would be retried.
+/// A client disconnects after its request was sent, and then the server rejects the request as not processed.
+/// With its client still connected, the request would be retried.
 #[tokio::test]
 async fn a_request_is_not_retried_after_its_client_disconnects() {
     for disconnect in DISCONNECTS {
@@ -87,19 +88,19 @@
 }
 
 async fn assert_not_retried(request: String, disconnect: Disconnect) {
-    // The connections of other requests are not to be used again, so that the first one is the only one that
-    // can be.
+    // Other connections are closed after one response, so that only the first one can be reused.
     let other_reply = ServerReply::Close(ok_response("x"));
-    let (mut server, gate) = TestServer::holding_payments(NOT_PROCESSED_503.to_vec(), other_reply).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let gate = ResponseGate::default();
+    let mut server = TestServer::holding_payments(&gate, NOT_PROCESSED_503.to_vec(), other_reply).await;
+    let agent = start_agent(server.address).await;
     let client = agent.send_request(&request).await;
     assert_eq!(server.next_request().await.body, b"b");
 
     disconnect.apply(&agent, client).await;
     gate.release_one();
 
-    // Its first connection is free again once the outcome is known; nothing else has come by then.
-    within_time_limit("the connection's second use", async {
+    // The first connection is reused once the agent has received the rejection. No retry may precede that.
+    within_time_limit("the reuse of the connection", async {
         loop {
             assert_eq!(agent.get("/read").await.status(), 200);
             let request = server.next_request().await;
@@ -113,13 +114,14 @@
     .await;
 }
 
-/// The request waits for capacity at the only server. Capacity comes after its client has disconnected.
+/// A request is queued for capacity at the only server, which becomes free after the client has disconnected.
 #[tokio::test]
 async fn a_queued_request_is_not_sent_after_its_client_disconnects() {
     for disconnect in DISCONNECTS {
-        let (mut server, gate) = TestServer::holding_responses("x").await;
-        let (_discovery, agent) = start_agent(server.address).await;
-        // They fill the estimated capacity of a new server.
+        let gate = ResponseGate::default();
+        let mut server = TestServer::holding_responses(&gate, "x").await;
+        let agent = start_agent(server.address).await;
+        // Two requests use up the estimated capacity of a new server.
         let mut first_clients = Vec::new();
         for _ in 0..2 {
             first_clients.push(agent.send_request(&post_request("/pay/first", "60000m", "b")).await);
@@ -134,16 +136,16 @@
 
         let next = server.next_request().await;
         assert_eq!(next.first_line(), "POST /pay/last HTTP/1.1", "{}", disconnect.description);
-        gate.release_waiting();
+        gate.release_held();
         assert!(!server.has_further_request(), "{}: more was sent", disconnect.description);
     }
 }
 
-/// The connect is in progress, to an address that accepts no connection until its backlog has room.
+/// A client drops its connection while the connect to the server is in progress, in a full backlog.
 #[tokio::test]
 async fn a_request_is_not_sent_if_its_client_drops_the_connection_during_the_connect() {
     let listener = FullListener::start().await;
-    let (_discovery, agent) =
+    let agent =
         start_configured_agent(listener.address, |config| config.with_connect_timeout_ms(10_000)).await;
     let client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     wait_for_connect_in_progress(listener.address).await;
@@ -152,18 +154,18 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut stream = listener.accept_waiting_connection().await;
 
-    // It serves the next request, so the first one's bytes would have come before these.
+    // The next request uses this connection, so any bytes of the first one would precede it.
     let _next_client = agent.send_request(&get_request("/read/next", "60000m")).await;
     let next = within_time_limit("the next request", read_message(&mut stream, 0)).await;
     assert_eq!(next.expect("a request").first_line(), "GET /read/next HTTP/1.1");
 }
 
-/// The same for each way to disconnect, of which the agent knows before the connect succeeds.
+/// The same for each way to disconnect, which the agent notices before the connect succeeds.
 #[tokio::test]
 async fn a_request_is_not_sent_however_its_client_disconnects_during_the_connect() {
     for disconnect in DISCONNECTS {
         let listener = FullListener::start().await;
-        let (_discovery, agent) =
+        let agent =
             start_configured_agent(listener.address, |config| config.with_connect_timeout_ms(20_000)).await;
         let client = agent.send_request(&post_request("/pay/left", "60000m", "b")).await;
         wait_for_connect_in_progress(listener.address).await;
@@ -171,7 +173,7 @@
         disconnect.apply(&agent, client).await;
         let mut stream = listener.accept_waiting_connection().await;
 
-        // It serves the next request, so the first one's bytes would have come before these.
+        // The next request uses this connection, so any bytes of the first one would precede it.
         let _next_client = agent.send_request(&post_request("/pay/next", "60000m", "b")).await;
         let next = within_time_limit("the next request", read_message(&mut stream, 0)).await;
         let next = next.expect("a request");
--- a/crates/balancer-agent/tests/common/agent.rs
+++ b/crates/balancer-agent/tests/common/agent.rs
@@ -1,4 +1,4 @@
-//! The process of the real agent.
+//! The agent under test, as a process.
 
 use super::client::Client;
 use super::config::{AgentConfig, ConfigFile};
@@ -10,19 +10,19 @@
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::process::{Child, ChildStderr, Command};
 
-/// The path of the agent's program.
+/// The path of the agent's executable.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
 
-/// A running agent; it is killed when it is dropped.
+/// A running agent. Its process is killed on drop.
 pub struct Agent {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its process.
+    /// The process.
     pub process: Child,
     config_file: ConfigFile,
 }
 
-/// A command that starts the agent with this configuration and no other variables.
+/// A command that starts the agent with this configuration file and no other environment variables.
 pub fn agent_command(config_file: &ConfigFile) -> Command {
     let mut command = Command::new(PROGRAM);
     command.env_clear().env("PROXY_CONFIG", config_file.path()).stderr(Stdio::piped()).kill_on_drop(true);
@@ -30,18 +30,18 @@
 }
 
 impl Agent {
-    /// Starts the agent.
+    /// Starts an agent with this configuration.
     pub async fn start(config: &AgentConfig) -> Self {
         let config_file = ConfigFile::create(&config.to_text());
         Self::spawn(agent_command(&config_file), config_file).await
     }
 
-    /// Starts a command that ends in the agent, whose configuration is in the file, and awaits its start.
+    /// Spawns a command that executes the agent with this configuration file, and waits until it listens.
     pub async fn spawn(mut command: Command, config_file: ConfigFile) -> Self {
         let mut process = command.spawn().expect("the program starts");
-        let mut log = BufReader::new(process.stderr.take().expect("its log")).lines();
+        let mut log = BufReader::new(process.stderr.take().expect("a piped log")).lines();
         let address = listen_address(&mut log).await;
-        // The log must be read on, or a full pipe would stop the agent.
+        // The rest of the log is read and dropped, as a full pipe would block the agent.
         tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
         Agent { address, process, config_file }
     }
@@ -51,19 +51,19 @@
         Client::connect(self.address).await
     }
 
-    /// Sends a request over a connection of its own, which stays open.
+    /// Sends a request over a new connection.
     pub async fn send_request(&self, request: &str) -> Client {
         let mut client = self.connect().await;
         client.send(request).await;
         client
     }
 
-    /// Sends a request over a connection of its own and awaits the response.
+    /// Sends a request over a new connection and returns the response.
     pub async fn exchange(&self, request: &str) -> Message {
         self.connect().await.exchange(request).await
     }
 
-    /// Gets a path over a connection of its own.
+    /// Sends a GET request for a path over a new connection and returns the response.
     pub async fn get(&self, path: &str) -> Message {
         self.exchange(&get_request(path, "5000m")).await
     }
@@ -73,7 +73,7 @@
         self.exchange(READY_REQUEST).await.status()
     }
 
-    /// Returns once the agent is ready.
+    /// Waits until the agent is ready.
     pub async fn wait_until_ready(&self) {
         within_time_limit("readiness", async {
             while self.readiness_status().await != 200 {
@@ -83,12 +83,12 @@
         .await;
     }
 
-    /// Begins the graceful shutdown.
+    /// Starts the graceful shutdown.
     pub async fn send_sigterm(&self) {
         self.send_signal("-TERM").await;
     }
 
-    /// Has the configuration file read again.
+    /// Makes the agent reload its configuration file.
     pub async fn send_sighup(&self) {
         self.send_signal("-HUP").await;
     }
@@ -100,29 +100,29 @@
     }
 
     fn process_id(&self) -> u32 {
-        self.process.id().expect("it runs")
+        self.process.id().expect("a running process")
     }
 
-    /// The most memory that the process has held so far.
+    /// The peak resident memory of the process, in kB.
     pub fn peak_memory_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process_id()));
-        let status = status.expect("its status");
-        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its memory");
+        let status = status.expect("a status");
+        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
         peak.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Replaces the text of the configuration file; the agent reads it at the next SIGHUP.
+    /// Replaces the text of the configuration file, which the agent reads at the next SIGHUP.
     pub fn replace_config(&self, text: &str) {
         self.config_file.replace(text);
     }
 
-    /// Awaits the end of the process.
+    /// Waits until the process has exited.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
         within_time_limit("the agent's exit", self.process.wait()).await.expect("a status")
     }
 }
 
-/// Reads the log up to the line that tells where the agent listens.
+/// Reads the log up to the line with the address that the agent listens on.
 async fn listen_address(log: &mut Lines<BufReader<ChildStderr>>) -> SocketAddr {
     loop {
         let line = within_time_limit("the agent's start", log.next_line()).await;
--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -1,13 +1,14 @@
-//! The agent's configuration and the file that it is read from.
+//! The agent's configuration and its file.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// A deadline that no test reaches.
 const LONG_DEADLINE_MS: u64 = 60_000;
 
-/// The request classes of the settings, in their order.
+/// The request classes of the settings, in the order of the settings.
 #[derive(Clone, Copy)]
 pub enum RequestClass {
     /// Idempotent.
@@ -18,13 +19,12 @@
     Pay,
 }
 
-/// A configuration that the agent can work with, to be adapted step by step.
+/// A valid configuration, which the `with_` methods alter.
 #[derive(Clone)]
 pub struct AgentConfig(Value);
 
 impl AgentConfig {
-    /// A configuration with this discovery address and these entries in the known endpoint list, of version
-    /// 1.
+    /// A configuration with this discovery address and a known endpoint list of version 1 with these entries.
     pub fn new(discovery: SocketAddr, known_entries: &[Value]) -> Self {
         AgentConfig(json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "0f",
@@ -33,78 +33,78 @@
         }))
     }
 
-    /// Listens at this address.
+    /// Sets the address to listen on.
     pub fn with_listen_address(mut self, address: &str) -> Self {
         self.0["listen"] = address.into();
         self
     }
 
-    /// Calls the discovery at this address.
+    /// Sets the address of discovery.
     pub fn with_discovery(mut self, address: SocketAddr) -> Self {
         self.0["discovery"] = address.to_string().into();
         self
     }
 
-    /// The version of the known endpoint list.
+    /// Sets the version of the known endpoint list.
     pub fn with_known_version(mut self, version: u64) -> Self {
         self.0["known"]["seq"] = version.into();
         self
     }
 
-    /// How many sockets the agent may have open.
+    /// Sets how many sockets the agent may have open.
     pub fn with_socket_limit(mut self, sockets: usize) -> Self {
         self.0["limits"]["sockets"] = sockets.into();
         self
     }
 
-    /// Discovery that sends its changes without being asked, as the simulator's can.
+    /// Sets the discovery mode in which updates are sent unrequested, which only the simulator has.
     pub fn with_pushed_discovery(mut self) -> Self {
         self.0["settings"]["discovery"] = "pushed".into();
         self
     }
 
-    /// How long a connect to a server may take.
+    /// Sets how long a connect to a server may take.
     pub fn with_connect_timeout_ms(mut self, milliseconds: u64) -> Self {
         self.0["settings"]["limits"]["connectTimeoutMs"] = milliseconds.into();
         self
     }
 
-    /// After how long servers close an idle connection.
+    /// Sets after how long servers close an idle connection.
     pub fn with_keep_alive_ms(mut self, milliseconds: u64) -> Self {
         self.0["settings"]["limits"]["keepaliveMs"] = milliseconds.into();
         self
     }
 
-    /// Whether rejected clients may be told when to come back.
+    /// Sets whether rejections may carry `Retry-After`.
     pub fn with_retry_after(mut self, is_allowed: bool) -> Self {
         self.0["settings"]["limits"]["retryAfter"] = is_allowed.into();
         self
     }
 
-    /// How long after its notice a draining server may still get requests.
+    /// Sets for how long a server may still get requests once it is listed as draining.
     pub fn with_stop_sending_within_ms(mut self, milliseconds: u64) -> Self {
         self.0["settings"]["rules"]["stopSendingWithinMs"] = milliseconds.into();
         self
     }
 
-    /// Deadlines of each class that outlast any test.
+    /// Sets the deadline of each class to one that no test reaches.
     pub fn with_long_deadlines(self) -> Self {
-        [RequestClass::Read, RequestClass::Save, RequestClass::Pay]
-            .into_iter()
-            .fold(self, |config, class| config.with_deadline_ms(class, LONG_DEADLINE_MS))
+        self.with_deadline_ms(RequestClass::Read, LONG_DEADLINE_MS)
+            .with_deadline_ms(RequestClass::Save, LONG_DEADLINE_MS)
+            .with_deadline_ms(RequestClass::Pay, LONG_DEADLINE_MS)
     }
 
-    /// The longest that a request of the class may take.
+    /// Sets the deadline of a class.
     pub fn with_deadline_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "deadlineMs", milliseconds)
     }
 
-    /// How soon a request of the class ought to be answered.
+    /// Sets the latency objective of a class.
     pub fn with_latency_objective_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "aimMs", milliseconds)
     }
 
-    /// How long servers recognise a repeat of a request of the class.
+    /// Sets for how long servers deduplicate requests of a class.
     pub fn with_deduplication_window_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "dedupWindowMs", milliseconds)
     }
@@ -136,11 +136,11 @@
            "dedupWindowMs": 5000, "points": 1})
 }
 
-/// A configuration file, removed when it is dropped.
+/// A configuration file in the temporary directory, removed on drop.
 pub struct ConfigFile(PathBuf);
 
 impl ConfigFile {
-    /// Writes a file of its own.
+    /// Creates a new file with this text.
     pub fn create(text: &str) -> Self {
         static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -150,12 +150,12 @@
         file
     }
 
-    /// Writes another text to the file.
+    /// Replaces the text of the file.
     pub fn replace(&self, text: &str) {
         std::fs::write(&self.0, text).expect("a file");
     }
 
-    /// Where the file is.
+    /// The path of the file.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/balancer-agent/tests/common/discovery.rs
+++ b/crates/balancer-agent/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that shows the test each call, and the endpoint lists that it serves.
+//! A scripted discovery service that reports each call to the test, and the endpoint lists that it serves.
 
 use super::messages::{ok_response, read_message};
 use super::within_time_limit;
@@ -8,20 +8,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// The birth time, in milliseconds, of a server process that was started after that of [`endpoint_entry`].
+/// The start time, in Unix milliseconds, of a server process newer than that of [`endpoint_entry`].
 pub const NEW_INCARNATION_MS: u64 = 1_700_000_000_000;
 
 const CHANNEL_CAPACITY: usize = 1024;
 const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n";
 
-/// What an endpoint list says of a server.
+/// The health of a server in an endpoint list.
 #[derive(Clone, Copy)]
 pub enum Health {
-    /// It takes requests.
+    /// It accepts requests.
     Up,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its open requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// It has been removed.
     Removed,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// An entry of an endpoint list, as JSON for the test to alter.
+/// An entry of an endpoint list, as JSON that a test may alter.
 pub fn endpoint_entry(name: &str, address: SocketAddr, health: Health) -> Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m", "block": 0,
            "health": health.as_str(), "share": 1.0, "born_ms": 0})
@@ -46,7 +46,7 @@
     endpoint_entry(name, address, Health::Up)
 }
 
-/// A whole endpoint list.
+/// A complete endpoint list.
 pub fn endpoint_list(version: u64, entries: &[Value]) -> Value {
     json!({"seq": version, "whole": true, "hosts": entries})
 }
@@ -54,7 +54,8 @@
 /// What the discovery service does with a call.
 #[derive(Clone)]
 pub enum DiscoveryBehavior {
-    /// Answers with this list; a watch only once the list is newer than the version it names.
+    /// Answers with this list; a watch is answered only once the list is newer than the version that the
+    /// watch names.
     Serve(Value),
     /// Answers with an error.
     Fail,
@@ -63,7 +64,7 @@
 }
 
 impl DiscoveryBehavior {
-    /// Whether a call that names this version, or none, is to be dealt with now.
+    /// Whether a call that names this version, or none, is handled now.
     fn is_due(&self, known_version: Option<u64>) -> bool {
         match (self, known_version) {
             (DiscoveryBehavior::Serve(list), Some(known_version)) => {
@@ -84,14 +85,15 @@
 
 /// A running discovery service.
 pub struct TestDiscovery {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     behavior: watch::Sender<DiscoveryBehavior>,
     calls: mpsc::Receiver<String>,
 }
 
 impl TestDiscovery {
-    /// A discovery service that behaves so until the test changes it.
+    /// Starts a discovery service with this behavior. It runs until the end of the test, even if this value is
+    /// dropped.
     pub async fn start(behavior: DiscoveryBehavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -101,22 +103,22 @@
         TestDiscovery { address, behavior, calls }
     }
 
-    /// A discovery service that answers no call.
+    /// Starts a discovery service that answers no call.
     pub async fn silent() -> Self {
         Self::start(DiscoveryBehavior::Silent).await
     }
 
-    /// A discovery service that has nothing newer than the agent's own list of version 1.
-    pub async fn without_news() -> Self {
+    /// Starts a discovery service that has nothing newer than the agent's known list of version 1.
+    pub async fn without_updates() -> Self {
         Self::start(DiscoveryBehavior::Serve(endpoint_list(1, &[]))).await
     }
 
-    /// Changes the behavior towards calls that are open and calls to come.
+    /// Changes the behavior for open and future calls.
     pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
         self.behavior.send_replace(behavior);
     }
 
-    /// Serves a whole list from now on.
+    /// Serves a complete list from now on.
     pub fn publish(&self, version: u64, entries: &[Value]) {
         self.set_behavior(DiscoveryBehavior::Serve(endpoint_list(version, entries)));
     }
@@ -127,13 +129,13 @@
         self.set_behavior(DiscoveryBehavior::Serve(changes));
     }
 
-    /// Awaits the next call and returns its target.
+    /// Waits for the next call and returns its target.
     pub async fn next_call(&mut self) -> String {
         within_time_limit("a call to discovery", self.calls.recv()).await.expect("a call")
     }
 
-    /// Forgets the calls that the test has not looked at.
-    pub fn skip_calls(&mut self) {
+    /// Discards the calls that the test has not read.
+    pub fn discard_calls(&mut self) {
         while self.calls.try_recv().is_ok() {}
     }
 }
@@ -155,7 +157,8 @@
 ) {
     while let Some(request) = read_message(&mut stream, 0).await {
         let target = request.target().to_owned();
-        calls.send(target.clone()).await.expect("the test listens");
+        // Fails if the test has dropped its `TestDiscovery`, as it does not check the calls.
+        let _ = calls.send(target.clone()).await;
         let Some(response) = due_response(&mut behavior, known_version(&target)).await else { continue };
         if stream.write_all(&response).await.is_err() {
             return;
@@ -163,16 +166,16 @@
     }
 }
 
-/// Awaits a behavior that deals with the call; `None` if it leaves the call without an answer.
+/// Waits for a behavior that handles the call. Returns the response; `None` if it leaves the call unanswered.
 async fn due_response(
     behavior: &mut watch::Receiver<DiscoveryBehavior>,
     known_version: Option<u64>,
 ) -> Option<Vec<u8>> {
-    let due = behavior.wait_for(|behavior| behavior.is_due(known_version)).await;
-    due.expect("a behavior").response()
+    let due_behavior = behavior.wait_for(|behavior| behavior.is_due(known_version)).await;
+    due_behavior.expect("a behavior").response()
 }
 
-/// The version that a watch already knows.
+/// The version that a watch names; `None` for a call that is no watch.
 fn known_version(target: &str) -> Option<u64> {
     let (_, value) = target.split_once("after=")?;
     value.split('&').next()?.parse().ok()
--- a/crates/balancer-agent/tests/common/kernel.rs
+++ b/crates/balancer-agent/tests/common/kernel.rs
@@ -1,4 +1,4 @@
-//! States of TCP connections, as the kernel lists them.
+//! The states of TCP connections in the kernel's list.
 
 use super::within_time_limit;
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 const SYN_SENT: &str = "02";
 const FIN_WAIT_1: &str = "04";
 
-/// Returns once a connect to the address has begun and has no answer yet.
+/// Waits until a connect to the address is in progress.
 pub async fn wait_for_connect_in_progress(address: SocketAddr) {
-    // The remote end, then the state.
+    // The remote address and the state.
     let pattern = format!(":{:04X} {SYN_SENT} ", address.port());
     within_time_limit("a connect", async {
         while !tcp_connections().contains(&pattern) {
@@ -19,10 +19,10 @@
     .await;
 }
 
-/// Whether the agent has closed its side of a client's connection, and the client has not acknowledged all of
-/// it.
+/// Whether the agent has closed its side of a client connection, and the client's kernel has not acknowledged
+/// all of it.
 pub fn is_close_unacknowledged(agent: SocketAddr, client: SocketAddr) -> bool {
-    // Both ends, then the state.
+    // The local address, the remote address and the state.
     let pattern = format!(":{:04X} 0100007F:{:04X} {FIN_WAIT_1} ", agent.port(), client.port());
     tcp_connections().contains(&pattern)
 }
--- a/crates/balancer-agent/tests/common/messages.rs
+++ b/crates/balancer-agent/tests/common/messages.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: the requests that clients send, the responses that servers script, and a plain reader.
+//! HTTP/1.1 messages: requests of clients, responses of scripted servers, and a simple reader.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::io::AsyncReadExt;
@@ -7,7 +7,7 @@
 /// A readiness request to the agent.
 pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-/// A 503 that leaves open whether the request was processed.
+/// A 503 after which the request may have been processed.
 pub const PLAIN_503: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
 /// A 503 that proves that the request was not processed.
@@ -18,11 +18,11 @@
 /// The head and the body of a request or a response.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// The connection that it came over, counted from 0.
+    /// The number of the connection that it was received on, counted from 0.
     pub connection: usize,
-    /// The first line and the headers, with the empty line behind them.
+    /// The first line, the headers and the empty line.
     pub head: String,
-    /// As many bytes as `Content-Length` says, or none.
+    /// The body; empty without a `Content-Length`.
     pub body: Vec<u8>,
 }
 
@@ -56,7 +56,7 @@
 
 /// Reads one message; `None` if the connection ends first.
 pub async fn read_message(stream: &mut TcpStream, connection: usize) -> Option<Message> {
-    let (head, mut body) = read_head(stream).await?;
+    let ReceivedHead { head, rest: mut body } = read_head(stream).await?;
     let mut message = Message { connection, head, body: Vec::new() };
     let length = message.content_length();
     while body.len() < length {
@@ -68,8 +68,14 @@
     Some(message)
 }
 
-/// Reads up to the end of a head; returns the head and the bytes that came with it.
-async fn read_head(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
+/// A head, and the bytes behind it that were received with it.
+struct ReceivedHead {
+    head: String,
+    rest: Vec<u8>,
+}
+
+/// Reads up to the end of a head; `None` if the connection ends first.
+async fn read_head(stream: &mut TcpStream) -> Option<ReceivedHead> {
     let mut bytes = Vec::new();
     let end = loop {
         if let Some(start) = bytes.windows(END_OF_HEAD.len()).position(|window| window == END_OF_HEAD) {
@@ -80,7 +86,8 @@
         }
     };
     let rest = bytes.split_off(end);
-    Some((String::from_utf8(bytes).ok()?, rest))
+    let head = String::from_utf8(bytes).ok()?;
+    Some(ReceivedHead { head, rest })
 }
 
 /// A 200 response with this body.
@@ -88,13 +95,13 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// A GET request of the class that its path names, with a request id of its own.
+/// A GET request of the class that the path begins with, with a new request id.
 pub fn get_request(path: &str, timeout: &str) -> String {
     format!("{}\r\n", head_without_length("GET", path, timeout))
 }
 
-/// A POST request of the class that its path names, with a request id of its own; of the class `save` it
-/// carries an idempotency key.
+/// A POST request of the class that the path begins with, with a new request id. In the class `save` it has an
+/// idempotency key.
 pub fn post_request(path: &str, timeout: &str, body: &str) -> String {
     let head = head_without_length("POST", path, timeout);
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
@@ -111,7 +118,7 @@
     )
 }
 
-/// A POST request with a chunked body, of which these chunks are given.
+/// A POST request with a chunked body that begins with these chunks.
 pub fn chunked_post_request(path: &str, timeout: &str, chunks: &str) -> String {
     let request = post_request(path, timeout, "");
     request.replace("Content-Length: 0", "Transfer-Encoding: chunked") + chunks
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -1,4 +1,4 @@
-//! A server that shows the test each request and answers by a script.
+//! A scripted server that reports each request to the test.
 
 use super::messages::{ok_response, read_message, Message};
 use super::within_time_limit;
@@ -11,18 +11,18 @@
 
 const CHANNEL_CAPACITY: usize = 1024;
 
-/// Holds responses back until the test releases them.
+/// Holds back responses until the test releases them.
 #[derive(Clone, Default)]
 pub struct ResponseGate(Arc<Notify>);
 
 impl ResponseGate {
-    /// Releases one response: one that waits now, or else the next.
+    /// Releases one response: a held one, or else the next one.
     pub fn release_one(&self) {
         self.0.notify_one();
     }
 
-    /// Releases all responses that wait now.
-    pub fn release_waiting(&self) {
+    /// Releases all responses that are held now.
+    pub fn release_held(&self) {
         self.0.notify_waiters();
     }
 
@@ -34,18 +34,18 @@
 /// What a test server does with a request.
 #[derive(Clone)]
 pub enum ServerReply {
-    /// Sends these bytes, and the connection stays open.
+    /// Sends these bytes and keeps the connection open.
     KeepOpen(Vec<u8>),
-    /// Sends these bytes, and the server's side of the connection is closed.
+    /// Sends these bytes and shuts down the server's side of the connection.
     Close(Vec<u8>),
-    /// Sends these bytes once the test releases them; the connection stays open.
+    /// Sends these bytes once the test releases them, and keeps the connection open.
     WhenReleased(ResponseGate, Vec<u8>),
-    /// Sends nothing on an open connection.
+    /// Sends nothing and keeps the connection open.
     Silent,
 }
 
 impl ServerReply {
-    /// Errors are ignored: whether the agent still reads is for the test to judge.
+    /// Sends the reply. Errors are ignored: the test checks what the agent has received.
     async fn send(self, stream: &mut TcpStream) {
         match self {
             ServerReply::KeepOpen(bytes) => stream.write_all(&bytes).await.unwrap_or(()),
@@ -64,16 +64,16 @@
 
 /// A running test server.
 pub struct TestServer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// The requests that it has received.
+    /// The requests that have been received and not read by the test.
     pub requests: mpsc::Receiver<Message>,
     accepted: Arc<AtomicUsize>,
     closed: mpsc::Receiver<usize>,
 }
 
 impl TestServer {
-    /// A server that answers each request as the script says.
+    /// Starts a server that replies to each request as the script says.
     pub async fn start(script: impl Fn(&Message) -> ServerReply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -86,13 +86,13 @@
         TestServer { address, requests, accepted, closed }
     }
 
-    /// A server that answers each request with a 200 of this body.
+    /// Starts a server that replies to each request with a 200 response with this body.
     pub async fn responding_with(body: &str) -> Self {
         let response = ok_response(body);
         Self::start(move |_| ServerReply::KeepOpen(response.clone())).await
     }
 
-    /// A server that gives these replies in turn, and the last one from then on.
+    /// Starts a server that sends these replies in turn, and repeats the last one.
     pub async fn replying_in_turn(replies: Vec<ServerReply>) -> Self {
         let count = AtomicUsize::new(0);
         Self::start(move |_| {
@@ -102,44 +102,43 @@
         .await
     }
 
-    /// A server that holds each response, a 200 of this body, until the test releases it.
-    pub async fn holding_responses(body: &str) -> (Self, ResponseGate) {
-        let gate = ResponseGate::default();
-        let held = ServerReply::WhenReleased(gate.clone(), ok_response(body));
-        (Self::start(move |_| held.clone()).await, gate)
+    /// Starts a server that replies to each request with a 200 response with this body once the gate releases
+    /// it.
+    pub async fn holding_responses(gate: &ResponseGate, body: &str) -> Self {
+        let held_reply = ServerReply::WhenReleased(gate.clone(), ok_response(body));
+        Self::start(move |_| held_reply.clone()).await
     }
 
-    /// A server that holds this response to each payment until the test releases it, and replies to other
+    /// Starts a server that sends this response to each payment once the gate releases it, and replies to other
     /// requests at once.
     pub async fn holding_payments(
+        gate: &ResponseGate,
         payment_response: Vec<u8>,
         other_reply: ServerReply,
-    ) -> (Self, ResponseGate) {
-        let gate = ResponseGate::default();
-        let held = ServerReply::WhenReleased(gate.clone(), payment_response);
-        let reply = move |request: &Message| {
+    ) -> Self {
+        let held_reply = ServerReply::WhenReleased(gate.clone(), payment_response);
+        Self::start(move |request| {
             let is_payment = request.head.contains("/pay");
             if is_payment {
-                held.clone()
+                held_reply.clone()
             } else {
                 other_reply.clone()
             }
-        };
-        let server = Self::start(reply).await;
-        (server, gate)
+        })
+        .await
     }
 
-    /// Awaits the next request.
+    /// Waits for the next request.
     pub async fn next_request(&mut self) -> Message {
         within_time_limit("a request at the server", self.requests.recv()).await.expect("a request")
     }
 
-    /// Whether a request has arrived that the test has not looked at.
+    /// Whether a request has been received that the test has not read.
     pub fn has_further_request(&mut self) -> bool {
         self.requests.try_recv().is_ok()
     }
 
-    /// Awaits the number of the next connection that the agent closes.
+    /// Waits until the agent closes a connection, and returns the connection's number.
     pub async fn next_closed_connection(&mut self) -> usize {
         within_time_limit("a closed connection at the server", self.closed.recv())
             .await
@@ -152,7 +151,7 @@
     }
 }
 
-/// What the connections of a server share.
+/// What the connections of a server have in common.
 #[derive(Clone)]
 struct ConnectionHandler {
     script: Arc<dyn Fn(&Message) -> ServerReply + Send + Sync>,
@@ -171,7 +170,7 @@
     async fn serve(self, mut stream: TcpStream, number: usize) {
         while let Some(request) = read_message(&mut stream, number).await {
             let reply = (self.script)(&request);
-            // A test that counts otherwise need not look at each request.
+            // Fails if the test does not read the requests.
             let _ = self.requests.try_send(request);
             reply.send(&mut stream).await;
         }
--- a/crates/balancer-agent/tests/connection_close.rs
+++ b/crates/balancer-agent/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! When the agent closes a client connection, and that no response is cut off by the close.
+//! Closing of client connections: when the agent closes one, and that the close cuts off no response.
 
 mod common;
 use common::agent::Agent;
@@ -19,25 +19,23 @@
     "x".repeat(LARGE_BODY_BYTES)
 }
 
-/// A client that takes in next to nothing until it reads, and waits for a response that does not fit.
+/// A client with a very small receive buffer that has requested a response too large for it.
 async fn connect_slow_client(agent: &Agent) -> Client {
     let mut client = Client { stream: small_buffer_connection(agent.address).await };
     client.send(&get_request("/read/large", "60000m")).await;
     let mut first_byte = [0];
-    within_time_limit("a response", client.stream.peek(&mut first_byte))
-        .await
-        .expect("the response has begun");
+    within_time_limit("a response", client.stream.peek(&mut first_byte)).await.expect("the first byte");
     client
 }
 
-/// Where clients leave one connection behind after the other, faster than idle ones grow old, a response
-/// closes its connection and says so; with few connections none does.
+/// Clients abandon connections faster than idle ones are closed. Once slot usage is high, each response
+/// announces that it closes its connection; before that, none does.
 #[tokio::test]
-async fn responses_close_their_connections_when_connections_run_short() {
+async fn responses_close_their_connections_at_high_slot_usage() {
     let server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent_with_few_sockets(server.address).await;
+    let agent = start_agent_with_few_sockets(server.address).await;
 
-    let mut kept = Vec::new();
+    let mut kept_clients = Vec::new();
     loop {
         let mut client = agent.connect().await;
         let response = client.exchange(&get_request("/read", "20000m")).await;
@@ -46,13 +44,13 @@
             client.wait_for_close().await;
             break;
         }
-        kept.push(client);
-        assert!(kept.len() < FEW_SOCKETS, "more than the agent has descriptors");
+        kept_clients.push(client);
+        assert!(kept_clients.len() < FEW_SOCKETS, "more connections than the agent has sockets");
     }
-    assert!(kept.len() >= 5, "few connections are all kept");
+    assert!(kept_clients.len() >= 5, "a connection was closed at low slot usage");
 }
 
-/// A connection whose response is being sent is not idle, and no room is made by closing it.
+/// A connection whose response is being written is neither idle nor evicted.
 #[tokio::test]
 async fn a_connection_with_an_unfinished_response_is_not_idle() {
     let server = TestServer::start(|request| {
@@ -61,8 +59,8 @@
         ServerReply::KeepOpen(ok_response(&body))
     })
     .await;
-    // With a quarter of the room taken, the first that are idle are closed after 2.05 s.
-    let (_discovery, agent) = start_configured_agent(server.address, |config| {
+    // With a quarter of the slots in use, connections are closed when they have been idle for 2.05 s.
+    let agent = start_configured_agent(server.address, |config| {
         config.with_long_deadlines().with_socket_limit(FEW_SOCKETS)
     })
     .await;
@@ -82,12 +80,11 @@
     assert_eq!((response.status(), response.body.len()), (200, LARGE_BODY_BYTES));
 }
 
-/// A response that its client has not received yet is not finished: the agent does not exit before it is.
+/// The agent does not exit before its clients have received their responses.
 #[tokio::test]
 async fn a_slow_client_receives_its_response_before_the_agent_exits() {
     let server = TestServer::responding_with(&large_body()).await;
-    let (_discovery, mut agent) =
-        start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
     let mut client = connect_slow_client(&agent).await;
 
     agent.send_sigterm().await;
@@ -99,13 +96,12 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// The agent has written its last response and closes, and the client still sends: a close over bytes that
-/// nobody reads would reset the connection, and what its client has not received by then would be lost.
+/// A client sends more bytes while the agent closes the connection after its last response. Closing a socket
+/// with unread bytes would reset the connection, and the client would lose the rest of the response.
 #[tokio::test]
 async fn a_response_survives_request_bytes_that_arrive_during_the_close() {
     let server = TestServer::responding_with(&large_body()).await;
-    let (_discovery, mut agent) =
-        start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
     let mut client = connect_slow_client(&agent).await;
     let client_address = client.stream.local_addr().expect("an address");
 
@@ -121,6 +117,6 @@
     within_time_limit("the rest of the response", client.stream.read_to_end(&mut response))
         .await
         .expect("the response is cut");
-    assert!(response.ends_with(large_body().as_bytes()), "{} bytes came", response.len());
+    assert!(response.ends_with(large_body().as_bytes()), "{} bytes were received", response.len());
     assert!(agent.wait_for_exit().await.success());
 }
--- a/crates/balancer-agent/tests/connection_pool.rs
+++ b/crates/balancer-agent/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to servers: reuse, keep-alive limits, and connections that must not be used again.
+//! The pool of server connections: reuse, keep-alive limits, and connections that must not be reused.
 
 mod common;
 use common::messages::{get_request, ok_response, post_request};
@@ -9,7 +9,7 @@
 #[tokio::test]
 async fn connections_are_reused() {
     let mut server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
     let mut client = agent.connect().await;
 
     for _ in 0..20 {
@@ -19,33 +19,32 @@
     assert_eq!(server.accepted_connections(), 1);
 }
 
-/// A connection that the server has closed while it was idle is not written to.
+/// No request is written to a connection that the server has closed while it was idle.
 #[tokio::test]
 async fn a_connection_closed_while_idle_is_not_reused() {
     let mut server = TestServer::start(|_| ServerReply::Close(ok_response("x"))).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     for connection in 0..5 {
         let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
         assert_eq!(response.status(), 200);
         assert_eq!(server.next_request().await.connection, connection);
-        // The agent has seen the end that the server's side sent once it ends its own.
+        // The agent closes its side once it has noticed that the server has closed.
         assert_eq!(server.next_closed_connection().await, connection);
     }
 }
 
-/// The agent's own limit lies well below the server's: at its limit a server closes, and a request that is
-/// being sent just then ends as a reset.
+/// The agent's idle limit is well below the server's keep-alive limit: a request that is sent while the server
+/// closes the connection would be reset.
 #[tokio::test]
 async fn idle_connections_are_closed_before_the_servers_keep_alive_limit() {
     let mut server = TestServer::responding_with("x").await;
-    let (_discovery, agent) =
-        start_configured_agent(server.address, |config| config.with_keep_alive_ms(1500)).await;
+    let agent = start_configured_agent(server.address, |config| config.with_keep_alive_ms(1500)).await;
 
     let sent = Instant::now();
     assert_eq!(agent.exchange(&get_request("/read", "2000m")).await.status(), 200);
     server.next_request().await;
 
     assert_eq!(server.next_closed_connection().await, 0);
-    assert!(sent.elapsed() > Duration::from_millis(900), "kept for a good part of the time");
+    assert!(sent.elapsed() > Duration::from_millis(900), "closed too early");
 }
--- a/crates/balancer-agent/tests/discovery_watch.rs
+++ b/crates/balancer-agent/tests/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list: how it is kept up, what it is retried after, and what each update changes.
+//! The watch on the endpoint list: when it is continued or retried, and what each update changes.
 
 mod common;
 use common::agent::Agent;
@@ -7,23 +7,23 @@
     endpoint_entry, up_entry, DiscoveryBehavior, Health, TestDiscovery, NEW_INCARNATION_MS,
 };
 use common::server::TestServer;
-use common::setup::{start_agent_beside, start_configured_agent, start_watching_agent, SERVER_NAME};
+use common::setup::{start_agent_with_discovery, start_watching_agent, SERVER_NAME};
 use common::within_time_limit;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// A watch goes on from the version of its last answer, and a draining server gets no new requests.
+/// Each watch names the version of the last answer, and a draining server gets no new requests.
 #[tokio::test]
 async fn the_endpoint_list_is_watched_and_a_draining_server_gets_no_new_requests() {
     let mut old_server = TestServer::responding_with("old").await;
     let new_server = TestServer::responding_with("new").await;
-    let discovery = TestDiscovery::without_news().await;
-    let (mut discovery, agent) = start_agent_beside(discovery, old_server.address, |config| config).await;
+    let mut discovery = TestDiscovery::without_updates().await;
+    let agent = start_agent_with_discovery(&discovery, old_server.address, |config| config).await;
     assert!(discovery.next_call().await.starts_with("/v1/endpoints?after=1&wait_ms="));
     assert_eq!(agent.get("/read").await.body, b"old");
     old_server.next_request().await;
 
-    let notified = Instant::now();
+    let published_at = Instant::now();
     let draining = endpoint_entry(SERVER_NAME, old_server.address, Health::Draining);
     let malformed = json!({"host": 3});
     discovery.publish(2, &[draining, up_entry("new", new_server.address), malformed]);
@@ -35,18 +35,21 @@
     }
     assert!(!old_server.has_further_request(), "sent to a draining server");
     assert_eq!(old_server.next_closed_connection().await, 0);
-    assert!(notified.elapsed() < Duration::from_secs(6), "closed for the drain, not for its age of 7 s");
+    assert!(
+        published_at.elapsed() < Duration::from_secs(6),
+        "closed by the idle limit of 7 s, not the drain"
+    );
 }
 
-/// `pushed` in the settings speaks of the simulator, where changes come by themselves. On sockets nothing
-/// comes that is not asked for, so the list is watched all the same.
+/// `pushed` discovery exists in the simulator only, where updates are sent unrequested. On sockets the list has
+/// to be watched whatever the settings say.
 #[tokio::test]
-async fn the_endpoint_list_is_watched_though_the_settings_call_discovery_pushed() {
+async fn the_endpoint_list_is_watched_even_if_the_settings_say_pushed() {
     let mut old_server = TestServer::responding_with("old").await;
     let new_server = TestServer::responding_with("new").await;
-    let discovery = TestDiscovery::without_news().await;
-    let (mut discovery, agent) =
-        start_agent_beside(discovery, old_server.address, AgentConfig::with_pushed_discovery).await;
+    let mut discovery = TestDiscovery::without_updates().await;
+    let agent =
+        start_agent_with_discovery(&discovery, old_server.address, AgentConfig::with_pushed_discovery).await;
     assert!(discovery.next_call().await.starts_with("/v1/endpoints?after=1&wait_ms="));
     assert_eq!(agent.get("/read").await.body, b"old");
     old_server.next_request().await;
@@ -59,13 +62,13 @@
     assert!(!old_server.has_further_request(), "sent to a draining server");
 }
 
-/// The same server at another address, or started anew, is another process: nothing goes over old
-/// connections.
+/// A server with a new address or a new start time is a new process: old connections are not reused.
 #[tokio::test]
 async fn a_new_address_or_incarnation_means_new_connections() {
     let mut first = TestServer::responding_with("1").await;
     let mut second = TestServer::responding_with("2").await;
-    let (mut discovery, agent) = start_watching_agent(first.address, |config| config).await;
+    let mut discovery = TestDiscovery::without_updates().await;
+    let agent = start_watching_agent(&mut discovery, first.address, |config| config).await;
     assert_eq!(agent.get("/read").await.body, b"1");
     first.next_request().await;
 
@@ -82,12 +85,12 @@
     assert_eq!(second.next_request().await.connection, 1);
 }
 
-/// A server's address that is given to another server: no connection to the old one carries over.
+/// An address is assigned to another server: connections to the old server are not reused.
 #[tokio::test]
 async fn an_address_reused_by_another_server_means_new_connections() {
     let server_name = |number: usize| format!("s{number}");
     let mut server = TestServer::responding_with("x").await;
-    let mut discovery = TestDiscovery::without_news().await;
+    let mut discovery = TestDiscovery::without_updates().await;
     let known_entries = [up_entry(&server_name(0), server.address)];
     let agent = Agent::start(&AgentConfig::new(discovery.address, &known_entries)).await;
     discovery.next_call().await;
@@ -102,7 +105,7 @@
     }
 }
 
-/// A discovery that answers with an error, and one that does not answer at all, is called again.
+/// The watch is retried if discovery answers with an error, and if it does not answer.
 #[tokio::test]
 async fn a_failed_or_unanswered_watch_is_retried() {
     let server = TestServer::responding_with("x").await;
@@ -113,7 +116,7 @@
 
     discovery.set_behavior(DiscoveryBehavior::Silent);
     discovery.next_call().await;
-    // That call stays unanswered; only another one learns of this.
+    // The open call stays unanswered, so the agent only gets this list by retrying.
     discovery.publish(2, &[up_entry(SERVER_NAME, server.address)]);
     discovery.next_call().await;
 
@@ -121,25 +124,27 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// What discovery learns while no watch is open counts as notified at once, so the delay before the next one
-/// stays short, however many have failed.
+/// A change that discovery learns of while no watch is open counts as notified at once, so the retry delay stays
+/// short even after many failures.
 #[tokio::test]
 async fn the_watch_retry_delay_stays_within_the_drain_notice() {
     let server = TestServer::responding_with("x").await;
-    let discovery = TestDiscovery::start(DiscoveryBehavior::Fail).await;
-    let (mut discovery, _agent) =
-        start_agent_beside(discovery, server.address, |config| config.with_stop_sending_within_ms(200)).await;
+    let mut discovery = TestDiscovery::start(DiscoveryBehavior::Fail).await;
+    let _agent = start_agent_with_discovery(&discovery, server.address, |config| {
+        config.with_stop_sending_within_ms(200)
+    })
+    .await;
 
     let started = Instant::now();
     for _ in 0..12 {
         discovery.next_call().await;
     }
 
-    // At most 125 ms each. Doubled each time they would come to 8 s at the least.
+    // Each delay is at most 125 ms. Delays that double without a bound would add up to 8 s or more.
     assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
 }
 
-/// Lists that lack their entries, nest too deep or are too long to be read.
+/// Lists that lack their entries, are nested too deeply or are too long.
 fn malformed_lists() -> [Value; 4] {
     let nested = (0..200).fold(json!([]), |inner, _| json!([inner]));
     [
@@ -150,20 +155,23 @@
     ]
 }
 
-/// A list that is malformed or has no end: what is known stands, memory stays small, and the next valid one
-/// is applied.
+/// After a malformed or oversized list the known endpoints stay in use, memory use stays low, and the next valid
+/// list is applied.
 #[tokio::test]
 async fn a_malformed_or_oversized_endpoint_list_is_ignored() {
     let old_server = TestServer::responding_with("old").await;
     let new_server = TestServer::responding_with("new").await;
-    let (mut discovery, agent) =
-        start_configured_agent(old_server.address, |config| config.with_stop_sending_within_ms(200)).await;
+    let mut discovery = TestDiscovery::silent().await;
+    let agent = start_agent_with_discovery(&discovery, old_server.address, |config| {
+        config.with_stop_sending_within_ms(200)
+    })
+    .await;
     discovery.next_call().await;
 
     for malformed in malformed_lists() {
-        discovery.skip_calls();
+        discovery.discard_calls();
         discovery.set_behavior(DiscoveryBehavior::Serve(malformed));
-        // One that may have been under way, one that got this, and one that shows that it has been looked at.
+        // A call that may have been in flight, one that got this list, and one after the list was handled.
         for _ in 0..3 {
             discovery.next_call().await;
         }
--- a/crates/balancer-agent/tests/graceful_shutdown.rs
+++ b/crates/balancer-agent/tests/graceful_shutdown.rs
@@ -1,12 +1,12 @@
-//! Graceful shutdown: every request that is open at SIGTERM, and every one that still arrives, is answered
-//! before the agent exits.
+//! Graceful shutdown: requests that are open at SIGTERM, and those that still arrive, are answered before the
+//! agent exits.
 
 mod common;
 use common::agent::Agent;
 use common::client::Client;
 use common::config::{AgentConfig, RequestClass};
 use common::messages::{get_request, ok_response, post_request, read_message, Message};
-use common::server::{ServerReply, TestServer};
+use common::server::{ResponseGate, ServerReply, TestServer};
 use common::setup::{start_agent, start_configured_agent, AFTER_LAST_ACCEPT, FEW_SOCKETS};
 use common::within_time_limit;
 use std::net::SocketAddr;
@@ -18,13 +18,14 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// After SIGTERM: idle connections are closed, what is in flight is answered, connections that come late are
-/// still accepted, each response says that it is the last, and the agent exits by itself.
+/// After SIGTERM idle connections are closed, requests in flight are answered, new connections are still accepted,
+/// each response announces the close of its connection, and the agent exits by itself.
 #[tokio::test]
 async fn requests_in_flight_and_late_requests_are_answered() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
-    let (mut server, gate) = TestServer::holding_payments(ok_response("x"), other_reply).await;
-    let (_discovery, mut agent) = start_agent(server.address).await;
+    let gate = ResponseGate::default();
+    let mut server = TestServer::holding_payments(&gate, ok_response("x"), other_reply).await;
+    let mut agent = start_agent(server.address).await;
     let mut idle = agent.connect().await;
     assert_eq!(idle.exchange(&get_request("/read", "2000m")).await.status(), 200);
     server.next_request().await;
@@ -45,8 +46,8 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// A client as clients really behave: it uses the connection it has, opens new ones for a while after
-/// SIGTERM, and sends once more what crossed the closing of an idle one.
+/// A client that behaves as the platform's do: it reuses its connection, opens new ones for a while after SIGTERM,
+/// and retries a request once if its connection was closed without a response.
 struct LoadClient {
     agent: SocketAddr,
     kept_connection: Option<TcpStream>,
@@ -82,11 +83,11 @@
     async fn exchange_over_kept_connection(&mut self, request: &str) -> Option<Message> {
         let stream = self.kept_connection.as_mut()?;
         let _ = stream.write_all(request.as_bytes()).await;
-        within_time_limit("a response or the end", read_message(stream, 0)).await
+        within_time_limit("a response or a close", read_message(stream, 0)).await
     }
 
     async fn exchange_over_new_connection(&mut self, request: &str) -> Option<Message> {
-        let mut stream = TcpStream::connect(self.agent).await.expect("still accepted");
+        let mut stream = TcpStream::connect(self.agent).await.expect("the connection is accepted");
         let _ = stream.write_all(request.as_bytes()).await;
         let response = within_time_limit("a response", read_message(&mut stream, 0)).await;
         self.kept_connection = Some(stream);
@@ -94,12 +95,12 @@
     }
 }
 
-/// A shutdown in the midst of traffic. Nothing may be lost.
+/// A shutdown under load loses no request.
 #[tokio::test]
 async fn no_request_is_lost_under_load() {
     const CLIENTS: usize = 16;
     let server = TestServer::responding_with("x").await;
-    let (_discovery, mut agent) = start_agent(server.address).await;
+    let mut agent = start_agent(server.address).await;
     let sigterm_time = watch::Sender::new(None);
     let served_requests = Arc::new(AtomicUsize::new(0));
     let clients = [(); CLIENTS].map(|()| {
@@ -123,22 +124,23 @@
     sigterm_time.send_replace(Some(Instant::now()));
 
     for client in clients {
-        within_time_limit("a client's end", client).await.expect("nothing lost");
+        within_time_limit("the end of a client", client).await.expect("no request was lost");
     }
-    // How much depends on the machine: clients come for 0.3 s.
+    // How many depends on the machine; clients open connections for another 0.3 s.
     assert!(served_requests.load(Ordering::SeqCst) > served_before, "no traffic after SIGTERM");
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// The agent has no room for a further connection, and the requests of all are open. What waits in the
-/// listener's queue when the time for new connections is over is accepted and answered once there is room.
+/// All slots are in use by connections with open requests. Connections that are in the accept queue when the time
+/// for new connections ends are accepted and answered once slots are free.
 #[tokio::test]
 async fn connections_in_the_accept_queue_are_accepted_and_answered() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
-    let (mut server, gate) = TestServer::holding_payments(ok_response("x"), other_reply).await;
-    let (_discovery, mut agent) = start_configured_agent(server.address, |config| {
+    let gate = ResponseGate::default();
+    let mut server = TestServer::holding_payments(&gate, ok_response("x"), other_reply).await;
+    let mut agent = start_configured_agent(server.address, |config| {
         let config = config.with_long_deadlines().with_socket_limit(FEW_SOCKETS);
-        // With this objective they are queued for long.
+        // With this objective, reads stay queued for long.
         config.with_latency_objective_ms(RequestClass::Read, 30_000)
     })
     .await;
@@ -147,7 +149,7 @@
         clients.push(agent.send_request(&post_request("/pay", "60000m", "b")).await);
         server.next_request().await;
     }
-    // 26 are queued, for the server is at its estimated capacity, and 4 are not accepted yet.
+    // 26 requests are queued, as the server is at its estimated capacity; 4 connections are not accepted yet.
     for _ in 0..26 + 4 {
         clients.push(agent.send_request(&get_request("/read", "60000m")).await);
     }
@@ -165,16 +167,16 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// Clients may wait longer than SIGKILL does. What hangs then is answered as failed before it comes.
+/// Clients may wait for longer than the platform waits with SIGKILL. Requests that are still open then are
+/// answered as failed before.
 #[tokio::test]
 async fn requests_that_outlast_the_shutdown_period_get_a_504() {
     let mut server = TestServer::start(|_| ServerReply::Silent).await;
-    let (_discovery, mut agent) =
-        start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
     let mut early = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     server.next_request().await;
 
-    let signalled = Instant::now();
+    let signalled_at = Instant::now();
     agent.send_sigterm().await;
     let mut late = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     server.next_request().await;
@@ -183,12 +185,12 @@
         assert_eq!(client.receive().await.status(), 504);
         client.wait_for_close().await;
     }
-    // 3.65 s with some room for a machine under load; the deadlines are 60 s.
-    assert!(signalled.elapsed() < Duration::from_secs(15), "{:?}", signalled.elapsed());
+    // This takes 3.65 s, and longer on a busy machine; the deadlines are 60 s.
+    assert!(signalled_at.elapsed() < Duration::from_secs(15), "{:?}", signalled_at.elapsed());
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// A request of which a part has been sent.
+/// A request that has been sent in part.
 struct PartialRequest {
     client: Client,
     sent_bytes: usize,
@@ -202,13 +204,12 @@
     }
 }
 
-/// A connection that has sent nothing, one with half a head and one with half a body when SIGTERM comes: each
-/// request that becomes whole is answered, after a second SIGTERM too.
+/// At SIGTERM one connection has sent nothing, one half a head and one half a body. Each request is completed and
+/// answered, after a second SIGTERM as well.
 #[tokio::test]
 async fn requests_completed_after_the_signal_are_answered() {
     let server = TestServer::responding_with("x").await;
-    let (_discovery, mut agent) =
-        start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
     let requests = [(); 3].map(|()| post_request("/pay", "60000m", "the body"));
     let mut partial_requests = [
         PartialRequest::send(&agent, &requests[0], 0).await,
@@ -229,21 +230,20 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// Nothing keeps the agent from its exit for long: neither silent connections nor idle ones.
+/// The agent exits soon although silent and idle connections are open.
 #[tokio::test]
 async fn silent_and_idle_connections_do_not_delay_the_exit() {
     let server = TestServer::responding_with("x").await;
-    let (_discovery, mut agent) =
-        start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
     let mut silent = agent.connect().await;
     let mut idle = agent.connect().await;
     assert_eq!(idle.exchange(&get_request("/read", "60000m")).await.status(), 200);
 
-    let signalled = Instant::now();
+    let signalled_at = Instant::now();
     agent.send_sigterm().await;
 
     idle.wait_for_close().await;
     assert!(agent.wait_for_exit().await.success());
     silent.wait_for_close().await;
-    assert!(signalled.elapsed() >= Duration::from_millis(600), "new connections are accepted for a while");
+    assert!(signalled_at.elapsed() >= Duration::from_millis(600), "new connections are accepted for a while");
 }
--- a/crates/balancer-agent/tests/readiness_and_start.rs
+++ b/crates/balancer-agent/tests/readiness_and_start.rs
@@ -1,4 +1,4 @@
-//! How the agent starts, when it reports that it is ready, and how it restarts after it was killed.
+//! The start of the agent, its readiness, and its restart after it was killed.
 
 mod common;
 use common::agent::{agent_command, Agent};
@@ -24,8 +24,7 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// A restarted agent has the list that it had before, and serves by it while discovery is silent, down or
-/// gone.
+/// A restarted agent has a known endpoint list, and serves with it if discovery is silent, failing or gone.
 #[tokio::test]
 async fn an_agent_with_a_known_endpoint_list_is_ready_whatever_discovery_does() {
     let server = TestServer::responding_with("x").await;
@@ -49,7 +48,7 @@
         let output = within_time_limit("the exit", agent_command(&config_file).output()).await;
 
         let output = output.expect("output");
-        std::fs::remove_file(config_file.path()).expect("the file is there");
+        std::fs::remove_file(config_file.path()).expect("an existing file");
         assert!(!output.status.success());
         let log = String::from_utf8(output.stderr).expect("UTF-8");
         assert_eq!(log.lines().count(), 1, "{log}");
@@ -57,20 +56,20 @@
     }
 }
 
-/// An agent that was killed outright starts again at the same address with the list it had, and serves.
+/// An agent that was killed can be restarted on the same address with its known endpoint list.
 #[tokio::test]
 async fn a_killed_agent_restarts_on_its_address() {
     let server = TestServer::responding_with("x").await;
     let discovery = TestDiscovery::silent().await;
-    // An address of its own, or another test might take the port between the two starts.
+    // No other test uses this address, so none takes the port between the two starts.
     let config = AgentConfig::new(discovery.address, &[up_entry(SERVER_NAME, server.address)])
         .with_listen_address("127.0.0.2:0");
     let mut killed = Agent::start(&config).await;
-    // A connection that is open when the process dies leaves its address in use for a while.
+    // A connection that is open when the process is killed keeps the address in use for a while.
     let mut client = killed.connect().await;
     assert_eq!(client.exchange(&get_request("/read", "2000m")).await.status(), 200);
 
-    killed.process.kill().await.expect("it is killed");
+    killed.process.kill().await.expect("the process is killed");
     let restarted = Agent::start(&config.with_listen_address(&killed.address.to_string())).await;
 
     restarted.wait_until_ready().await;
--- a/crates/balancer-agent/tests/reconfiguration.rs
+++ b/crates/balancer-agent/tests/reconfiguration.rs
@@ -1,16 +1,16 @@
-//! SIGHUP: the agent reads its configuration again, in service and during graceful shutdown.
+//! SIGHUP: the agent reloads its configuration, in service and during graceful shutdown.
 
 mod common;
 use common::agent::{agent_command, Agent};
 use common::config::{AgentConfig, ConfigFile};
 use common::discovery::{up_entry, TestDiscovery};
 use common::messages::{ok_response, post_request};
-use common::server::{ServerReply, TestServer};
+use common::server::{ResponseGate, ServerReply, TestServer};
 use common::setup::SERVER_NAME;
 use common::within_time_limit;
 use tokio::io::AsyncReadExt;
 
-/// Starts an agent whose variables name the discovery as well as its configuration does.
+/// Starts an agent that has the discovery address in its environment as well.
 async fn start_agent_with_discovery_variable(config: &AgentConfig, discovery: &TestDiscovery) -> Agent {
     let config_file = ConfigFile::create(&config.to_text());
     let mut command = agent_command(&config_file);
@@ -18,14 +18,15 @@
     Agent::spawn(command, config_file).await
 }
 
-/// After SIGHUP the discovery that the file names now is called for its whole list, whatever version that
-/// has, and requests go on undisturbed. `PROXY_DISCOVERY` is the start's and does not mask it.
+/// After SIGHUP the agent requests the complete list, whatever its version, from the new discovery address in the
+/// file; open requests are not affected. `PROXY_DISCOVERY` applies to the start only.
 #[tokio::test]
 async fn a_reload_switches_to_the_new_discovery_address() {
     let other_reply = ServerReply::KeepOpen(ok_response("old"));
-    let (mut old_server, gate) = TestServer::holding_payments(ok_response("paid"), other_reply).await;
+    let gate = ResponseGate::default();
+    let mut old_server = TestServer::holding_payments(&gate, ok_response("paid"), other_reply).await;
     let new_server = TestServer::responding_with("new").await;
-    let mut old_discovery = TestDiscovery::without_news().await;
+    let mut old_discovery = TestDiscovery::without_updates().await;
     let mut new_discovery = TestDiscovery::silent().await;
     new_discovery.publish(1, &[up_entry("new", new_server.address)]);
     let known_entries = [up_entry("old", old_server.address)];
@@ -35,7 +36,7 @@
     let mut paying_client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     old_server.next_request().await;
 
-    // What cannot be read changes nothing, and neither it nor a quick repeat ends the agent.
+    // An invalid file changes nothing, and neither it nor a second SIGHUP ends the agent.
     agent.replace_config("{ half a file");
     agent.send_sighup().await;
     agent.send_sighup().await;
@@ -45,8 +46,8 @@
     for _ in 0..3 {
         agent.send_sighup().await;
     }
-    assert_eq!(new_discovery.next_call().await, "/v1/endpoints", "the whole list");
-    // The watch that follows shows that the list has been applied.
+    assert_eq!(new_discovery.next_call().await, "/v1/endpoints", "must request the complete list");
+    // The next watch shows that the list has been applied.
     within_time_limit("the new watch", async {
         while !new_discovery.next_call().await.contains("after=1&") {}
     })
@@ -60,10 +61,11 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// What is still open goes by the new discovery.
+/// Discovery moves during the shutdown, while a request is open.
 #[tokio::test]
 async fn a_reload_takes_effect_during_graceful_shutdown() {
-    let (mut server, gate) = TestServer::holding_responses("x").await;
+    let gate = ResponseGate::default();
+    let mut server = TestServer::holding_responses(&gate, "x").await;
     let mut old_discovery = TestDiscovery::silent().await;
     let mut new_discovery = TestDiscovery::silent().await;
     let config = AgentConfig::new(old_discovery.address, &[up_entry(SERVER_NAME, server.address)]);
--- a/crates/balancer-agent/tests/request_validation.rs
+++ b/crates/balancer-agent/tests/request_validation.rs
@@ -1,14 +1,14 @@
-//! Requests that the agent rejects: invalid headers, ambiguous or excessive lengths, and request ids in use.
+//! Requests that the agent rejects as invalid: bad headers, ambiguous or excessive lengths, and ids in use.
 
 mod common;
 use common::messages::{chunked_post_request, get_request, post_request};
-use common::server::TestServer;
+use common::server::{ResponseGate, TestServer};
 use common::setup::start_agent;
 
-/// The most bytes that a body may have.
+/// The size limit of a body.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// A request and the status that it is rejected with.
+/// An invalid request and the status of its rejection.
 struct InvalidRequest {
     text: String,
     status: u16,
@@ -41,7 +41,7 @@
 #[tokio::test]
 async fn invalid_requests_are_rejected_and_not_forwarded() {
     let mut server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     for invalid in invalid_requests() {
         assert_eq!(agent.exchange(&invalid.text).await.status(), invalid.status, "{}", invalid.text);
@@ -57,12 +57,12 @@
     assert!(!server.has_further_request(), "an invalid request was forwarded");
 }
 
-/// A length that two readers read in two ways hides a second request from one of them. It is not forwarded,
-/// and nothing behind it is taken for a request.
+/// Two peers may read an ambiguous length differently, so that one of them sees a request where the other sees a
+/// body. Such a request is not forwarded, and nothing behind it is read as a request.
 #[tokio::test]
 async fn a_request_of_ambiguous_length_is_rejected_and_its_connection_closed() {
     let mut server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
     let hidden_request = get_request("/read/hidden", "2000m");
 
     for ambiguous_headers in [
@@ -81,17 +81,17 @@
     }
     assert!(!server.has_further_request(), "something was forwarded");
 
-    // A chunked body alone is unambiguous; its request is served.
+    // A chunked body without a length is unambiguous, and its request is served.
     let chunked = chunked_post_request("/pay", "2000m", "2\r\nab\r\n0\r\n\r\n");
     assert_eq!(agent.exchange(&chunked).await.status(), 200);
     assert_eq!(server.next_request().await.body, b"ab");
 }
 
-/// An endless head and an endless body are given up early, and take no memory.
+/// Oversized heads and bodies are rejected before they have been received completely.
 #[tokio::test]
 async fn oversized_headers_and_bodies_are_rejected_early() {
     let server = TestServer::responding_with("x").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     let head = "GET /read HTTP/1.1\r\n".to_owned() + &"X-Filler: y\r\n".repeat(50) + "X-Long: ";
     let mut client = agent.send_request(&(head + &"z".repeat(20 << 10))).await;
@@ -103,11 +103,12 @@
     client.wait_for_close().await;
 }
 
-/// A second request under an id that is in flight is rejected; the first one is served.
+/// A request with the id of an open request is rejected, and the open one is served.
 #[tokio::test]
 async fn a_request_id_that_is_in_flight_is_rejected() {
-    let (mut server, gate) = TestServer::holding_responses("first").await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let gate = ResponseGate::default();
+    let mut server = TestServer::holding_responses(&gate, "first").await;
+    let agent = start_agent(server.address).await;
     let request = post_request("/pay", "20000m", "b");
     let mut first = agent.send_request(&request).await;
     server.next_request().await;
--- a/crates/balancer-agent/tests/server_responses.rs
+++ b/crates/balancer-agent/tests/server_responses.rs
@@ -1,5 +1,5 @@
-//! Responses that are malformed, truncated, early or followed by further bytes: what fails an attempt, and
-//! what costs only the connection.
+//! Malformed, truncated, early and overlong server responses: which fail their attempts, and which only close
+//! their connections.
 
 mod common;
 use common::messages::{ok_response, post_request, read_message, NOT_PROCESSED_503};
@@ -10,23 +10,22 @@
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 
-/// A part of a body must never pass for the whole.
+/// A truncated body must not be served as a complete one.
 #[tokio::test]
 async fn a_truncated_response_fails_its_attempt() {
     assert_attempt_fails(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf").await;
 }
 
-/// Where neither a length nor chunks tell of a response's end, a truncated one cannot be told from a whole
-/// one.
+/// Without a length or chunks, a truncated response cannot be distinguished from a complete one.
 #[tokio::test]
 async fn a_response_of_unknown_length_fails_its_attempt() {
     assert_attempt_fails(b"HTTP/1.1 200 OK\r\n\r\nperhaps a part").await;
 }
 
-/// Asserts that a request whose server sends these bytes and closes is answered as failed.
+/// Asserts that a request is answered as failed if its server sends these bytes and closes.
 async fn assert_attempt_fails(response_bytes: &'static [u8]) {
     let server = TestServer::start(|_| ServerReply::Close(response_bytes.to_vec())).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
 
@@ -45,7 +44,7 @@
         ServerReply::KeepOpen(malformed_load.to_vec()),
     ])
     .await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     for status in [502, 502, 502, 200] {
         let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
@@ -53,7 +52,7 @@
     }
 }
 
-/// Noise, heads without end, lengths that cannot be, and responses that go on and on.
+/// Noise, endless heads, invalid lengths and endless bodies.
 fn malformed_responses() -> Vec<Vec<u8>> {
     let with_headers = |headers: &str| format!("HTTP/1.1 200 OK\r\n{headers}").into_bytes();
     let chunk = "400\r\n".to_owned() + &"x".repeat(1024) + "\r\n";
@@ -70,15 +69,15 @@
     ]
 }
 
-/// Each response ends its attempt soon, as one that may have been processed. Its connection, which the server
-/// leaves open, is closed.
+/// Each response fails its attempt soon, as one that may have been processed. The agent closes the connection,
+/// which the server keeps open.
 #[tokio::test]
 async fn a_malformed_or_oversized_response_fails_its_attempt_and_closes_its_connection() {
     let responses = malformed_responses();
     let response_count = responses.len();
     let script = move |connection: usize| ServerReply::KeepOpen(responses[connection].clone());
     let mut server = TestServer::start(move |request| script(request.connection)).await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     for connection in 0..response_count {
         let sent = Instant::now();
@@ -90,8 +89,8 @@
     assert!(!server.has_further_request(), "sent twice");
 }
 
-/// 1xx responses ahead are skipped. What comes behind a valid response spoils its connection and not the
-/// response.
+/// 1xx responses are skipped. A valid response that is followed by further bytes is served, and its connection is
+/// closed.
 #[tokio::test]
 async fn a_response_followed_by_further_bytes_is_served_and_its_connection_closed() {
     let informational = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
@@ -101,7 +100,7 @@
         ServerReply::KeepOpen([informational, ok_response("right").as_slice(), further_bytes].concat())
     })
     .await;
-    let (_discovery, agent) = start_agent(server.address).await;
+    let agent = start_agent(server.address).await;
 
     for connection in 0..6 {
         let response = agent.exchange(&post_request("/pay", "20000m", "b")).await;
@@ -110,9 +109,8 @@
     }
 }
 
-/// A server begins with a request's last byte. One that responds before is not served from, whatever it says;
-/// and one that rejects the request does not get the rest of it, for that would be processed beside the
-/// retry.
+/// Servers begin to process a request at its last byte, so an earlier response is not served. A server that
+/// rejects the request early must not get the rest of it, or it would be processed in addition to the retry.
 #[tokio::test]
 async fn a_response_before_the_end_of_its_request_is_discarded_and_closes_its_connection() {
     assert_early_response_is_discarded(&ok_response("early")).await;
@@ -122,18 +120,19 @@
 async fn assert_early_response_is_discarded(early_response: &[u8]) {
     const BODY_BYTES: usize = 64 << 10;
     let listener = small_buffer_listener();
-    let (_discovery, agent) = start_agent(listener.local_addr().expect("an address")).await;
+    let agent = start_agent(listener.local_addr().expect("an address")).await;
     let mut client = agent.send_request(&post_request("/pay", "60000m", &"b".repeat(BODY_BYTES))).await;
 
     let mut first = accept_connection(&listener).await;
-    within_time_limit("a part of the request", first.readable()).await.expect("a part");
-    first.write_all(early_response).await.expect("it is written");
+    within_time_limit("a part of the request", first.readable()).await.expect("request bytes");
+    first.write_all(early_response).await.expect("the response is written");
 
     let mut second = accept_connection(&listener).await;
-    let rest = within_time_limit("the first connection's end", read_message(&mut first, 0)).await;
-    assert!(rest.is_none(), "the request came whole");
-    let retry = within_time_limit("the retry", read_message(&mut second, 1)).await.expect("it comes whole");
+    let rest = within_time_limit("the end of the first connection", read_message(&mut first, 0)).await;
+    assert!(rest.is_none(), "the complete request was sent");
+    let retry =
+        within_time_limit("the retry", read_message(&mut second, 1)).await.expect("a complete request");
     assert_eq!(retry.body.len(), BODY_BYTES);
-    second.write_all(&ok_response("right")).await.expect("it is written");
+    second.write_all(&ok_response("right")).await.expect("the response is written");
     assert_eq!(client.receive().await.body, b"right");
 }
