--- a/crates/balancer-agent/src/framing.rs
+++ b/crates/balancer-agent/src/framing.rs
@@ -2,9 +2,9 @@
 //!
 //! hyper drops a `Content-Length` beside a `Transfer-Encoding` and merges equal `Content-Length` headers, so
 //! the request it returns no longer shows that another peer might read the message differently. It also reads
-//! ahead, so an idle connection and one with a partly received request look alike. [`ClientStream`] gives hyper
-//! one complete head, then as many body bytes as the head announces, and nothing of the next request until the
-//! current one is answered.
+//! ahead, so an idle connection and one with a partly received request look alike. [`ClientStream`] gives
+//! hyper one complete head, then as many body bytes as the head announces, and nothing of the next request
+//! until the current one is answered.
 
 mod client_stream;
 mod connection_state;
--- a/crates/balancer-agent/src/framing/client_stream.rs
+++ b/crates/balancer-agent/src/framing/client_stream.rs
@@ -12,7 +12,8 @@
 
 /// How many bytes are read at a time.
 const READ_BYTES: usize = 4 << 10;
-/// How many bytes are read and discarded behind the last answer before the connection is closed anyway.
+/// How many bytes are read and discarded after the last answer before the connection is closed anyway
+/// (docs/findings/closes.md).
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
 /// A client connection that gives hyper one request at a time.
@@ -22,7 +23,7 @@
     framer: RequestFramer,
     /// Whether the client has shut down its sending side.
     is_at_end: bool,
-    /// How many bytes behind the last answer have been read and discarded.
+    /// How many bytes after the last answer have been read and discarded.
     discarded_bytes: usize,
     is_nodelay_set: bool,
 }
@@ -40,17 +41,18 @@
         }
     }
 
-    /// Sets `TCP_NODELAY`, as bytes that wait in the socket are lost if the connection is reset. The option may
-    /// fail on a connection that has just been accepted and succeed a moment later, so it is tried before each
-    /// write until it succeeds. Failures are ignored: without the option answers are slower, but still sent.
+    /// Sets `TCP_NODELAY`, as bytes that wait in the socket are lost if the connection is reset. The option
+    /// may fail on a connection that has just been accepted and succeed a moment later, so it is tried before
+    /// each write until it succeeds. Failures are ignored: without the option answers are slower, but still
+    /// sent (docs/findings/closes.md).
     fn set_nodelay(&mut self) {
         if !self.is_nodelay_set {
             self.is_nodelay_set = self.io.inner().set_nodelay(true).is_ok();
         }
     }
 
-    /// Reads more bytes into the framer; `false` at the end of the stream. Bytes that the framer does not keep
-    /// are read as well, as the end of the stream is only seen behind them.
+    /// Reads more bytes into the framer; `false` at the end of the stream. Bytes that the framer does not
+    /// keep are read as well, as the end of the stream is only seen after them.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if self.is_at_end {
             return Poll::Ready(Ok(false));
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Waits after the last answer until the client closes. Closing a socket with unread bytes would reset the
-    /// connection, and the client would lose the part of the answer that it has not received.
+    /// Waits after the last answer until the client closes. Closing a socket with unread bytes would reset
+    /// the connection, and the client would lose the part of the answer that it has not received.
     fn poll_client_end(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut bytes = [0; READ_BYTES];
         while !self.is_at_end && self.discarded_bytes < MAX_DISCARDED_BYTES {
--- a/crates/balancer-agent/src/framing/connection_state.rs
+++ b/crates/balancer-agent/src/framing/connection_state.rs
@@ -105,7 +105,7 @@
         self.framing_fault.set(Some(FramingFault::AmbiguousLength));
     }
 
-    /// Records that bytes behind the current request have been dropped.
+    /// Records that bytes after the current request have been dropped.
     pub fn excess_bytes_dropped(&self) {
         self.framing_fault.set(Some(FramingFault::ExcessBytes));
     }
--- a/crates/balancer-agent/src/framing/parser.rs
+++ b/crates/balancer-agent/src/framing/parser.rs
@@ -36,7 +36,7 @@
     Partial,
     /// The bytes are not a chunk line.
     Unreadable,
-    /// The length of the line, the chunk and the line end behind it.
+    /// The length of the line, the chunk and the line end after it.
     Sized(u64),
     /// The length of the last chunk's line and the trailers.
     Last(usize),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Parses the trailers behind the last chunk's line, which has this length.
+/// Parses the trailers after the last chunk's line, which has this length.
 fn parse_trailers(bytes: &[u8], last_line: usize) -> Chunk {
     let mut trailers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     match httparse::parse_headers(bytes, &mut trailers) {
--- a/crates/balancer-agent/src/framing/request_framer.rs
+++ b/crates/balancer-agent/src/framing/request_framer.rs
@@ -45,7 +45,7 @@
         matches!(self.progress, Progress::Closed)
     }
 
-    /// Adds received bytes. Behind a complete request at most [`MAX_HEAD_BYTES`] are buffered.
+    /// Adds received bytes. After a complete request at most [`MAX_HEAD_BYTES`] are buffered.
     pub fn push(&mut self, bytes: &[u8], connection: &ConnectionState) {
         let is_complete = matches!(self.progress, Progress::Complete);
         if is_complete && self.buffer.len() + bytes.len() > MAX_HEAD_BYTES {
@@ -78,8 +78,8 @@
         self.released -= length;
     }
 
-    /// Expects the next head now that the current request is answered. If the request has not been received to
-    /// its end, the framer closes, as nothing shows where the next one begins.
+    /// Expects the next head now that the current request is answered. If the request has not been received
+    /// to its end, the framer closes, as nothing shows where the next one begins.
     pub fn start_next_request(&mut self, connection: &ConnectionState) {
         let is_at_end = matches!(self.progress, Progress::Complete | Progress::Head);
         let can_continue = is_at_end && connection.framing_fault().is_none();
@@ -116,8 +116,8 @@
         true
     }
 
-    /// Parses the buffer as the line ahead of a chunk, or as the end of a chunked body. Returns whether it was
-    /// complete.
+    /// Parses the buffer as the line ahead of a chunk, or as the end of a chunked body. Returns whether it
+    /// was complete.
     fn advance_chunk_line(&mut self, connection: &ConnectionState) -> bool {
         match parse_chunk(&self.buffer) {
             Chunk::Partial if self.buffer.len() < MAX_HEAD_BYTES => return false,
@@ -151,7 +151,7 @@
         self.released > 0
     }
 
-    /// Releases `length` bytes and sets the progress behind them.
+    /// Releases `length` bytes and sets the progress after them.
     fn release(&mut self, length: usize, next: Progress) {
         self.released = length;
         self.progress = next;
--- a/crates/balancer-agent/src/listener.rs
+++ b/crates/balancer-agent/src/listener.rs
@@ -41,8 +41,8 @@
 }
 
 impl Listener {
-    /// Serves at most `max_connections` at a time. `longest_deadline` is the longest that a client waits for an
-    /// answer.
+    /// Serves at most `max_connections` at a time. `longest_deadline` is the longest that a client waits for
+    /// an answer.
     pub fn new(driver: Rc<Driver>, max_connections: usize, longest_deadline: Duration) -> Rc<Self> {
         Rc::new(Listener {
             connections: ConnectionTable::new(max_connections),
@@ -65,7 +65,7 @@
     }
 
     /// Shuts down gracefully: announces `Connection: close` from now on and closes idle connections. Returns
-    /// once `accepting` has accepted the last connection and each connection has been closed behind its last
+    /// once `accepting` has accepted the last connection and each connection has been closed after its last
     /// answer, or when SIGKILL is due.
     pub async fn shut_down(&self, accepting: JoinHandle<()>) {
         let schedule = ShutdownSchedule::starting_at(Instant::now(), self.longest_deadline);
--- a/crates/balancer-agent/src/listener/client_connection.rs
+++ b/crates/balancer-agent/src/listener/client_connection.rs
@@ -43,13 +43,13 @@
         &self.state
     }
 
-    /// Requests that it is closed, unless it has received a part of a request by the time its task runs.
+    /// Asks its task to close it. The task does not if a part of a request has been received by then.
     pub fn evict(&self) {
         self.eviction_requested.notify_one();
     }
 
-    /// Serves the requests that arrive over the stream until the client closes it, a time limit expires, or it
-    /// is evicted. A shutdown closes it after its last answer.
+    /// Serves the requests that arrive over the stream until the client closes it, a time limit expires, or
+    /// it is evicted. A shutdown closes it after its last answer.
     pub async fn serve<S>(
         &self,
         stream: TcpStream,
@@ -87,7 +87,7 @@
                 }
                 _ = shutdown.started(), if !is_shutting_down => {
                     is_shutting_down = true;
-                    if !self.may_receive_request() {
+                    if !self.awaits_request() {
                         http_connection.as_mut().graceful_shutdown();
                     }
                 }
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Whether a request that is still to be received, wholly or in part, is answered during a shutdown. Its
-    /// answer then closes the connection.
-    fn may_receive_request(&self) -> bool {
+    /// Whether a shutdown waits for a request on the connection: for its first one, or for one that has been
+    /// received in part. The answer to it closes the connection.
+    fn awaits_request(&self) -> bool {
         matches!(self.state.phase(), Phase::Silent | Phase::Receiving)
     }
 }
--- a/crates/balancer-agent/src/listener/connection_table.rs
+++ b/crates/balancer-agent/src/listener/connection_table.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// The order of eviction, least first: connections that are not in use by a client, then those that have been
-/// idle longest.
+/// The order of eviction, least first: silent and closing connections, then idle ones; the oldest phase
+/// first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     is_idle: bool,
--- a/crates/balancer-agent/src/listener/open_requests.rs
+++ b/crates/balancer-agent/src/listener/open_requests.rs
@@ -1,5 +1,5 @@
-//! The ids of open requests. Clients use a new id for every request, so a second request with the id of an open
-//! one is an error, and would interfere with the first one at the server.
+//! The ids of open requests. Clients use a new id for every request, so a second request with the id of an
+//! open one is an error, and would interfere with the first one at the server.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -17,7 +17,8 @@
 
 /// The path of readiness requests.
 const READINESS_PATH: &str = "/ready";
-/// The balancer answers each request by its deadline. If it does not, the request handler does, this much later.
+/// The balancer answers each request by its deadline. If it does not, the request handler does, this much
+/// later.
 const DEADLINE_SLACK: Duration = Duration::from_millis(4);
 
 /// Validates requests, submits them to the driver and awaits their answers.
@@ -81,7 +82,7 @@
     }
 }
 
-/// Tells the driver that nobody waits for a request's answer any more. When a client disconnects, hyper drops
+/// Tells the driver that a request no longer needs an answer. When a client disconnects, hyper drops
 /// the future that holds this guard. For a request that has been answered the driver does nothing.
 struct DisconnectGuard<'a> {
     driver: &'a Rc<Driver>,
--- a/crates/balancer-agent/src/listener/shutdown.rs
+++ b/crates/balancer-agent/src/listener/shutdown.rs
@@ -7,8 +7,8 @@
 
 /// How long new connections are accepted after SIGTERM, as clients go on connecting for a while.
 const ACCEPT_TIME: Duration = Duration::from_millis(650);
-/// The most that a deadline extends the shutdown. SIGKILL follows no sooner than 0.7 s and the longest deadline
-/// after SIGTERM (PROTOCOL page, "Figures").
+/// The most that a deadline extends the shutdown. SIGKILL follows no sooner than 0.7 s and the longest
+/// deadline after SIGTERM (PROTOCOL page, "Figures").
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// How long the last answers may take to be written.
 const FLUSH_TIME: Duration = Duration::from_millis(30);
@@ -36,7 +36,7 @@
     }
 }
 
-/// Tells the listener's tasks that a shutdown has begun.
+/// Notifies the tasks of the listener that a shutdown has begun.
 pub struct ShutdownSignal {
     schedule: watch::Sender<Option<ShutdownSchedule>>,
 }
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -13,11 +13,13 @@
 /// "Requests and connections").
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(2_050);
 /// A request must be received completely within this time of its first byte, and a connection's first request
-/// within this time of the accept. Connections that send nothing or half a request hold slots that others need.
+/// within this time of the accept. Connections that send nothing or half a request hold slots that others
+/// need; each must be answered or closed within 3 s (TERMS page, "Peers"). See
+/// docs/findings/late-request-cut-off.md for why later requests are timed on their own.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// How long a connection may be idle while slot usage is low.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
-/// How long a connection waits for its client to close it after the last answer.
+/// How long a connection waits for its client to close it after the last answer (docs/findings/closes.md).
 pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The time limits of one connection.
@@ -55,9 +57,8 @@
         }
     }
 
-    /// The limit before the first byte. During a shutdown no further connections are accepted after
-    /// `accept_until`; those that are open by then need no more than [`MIN_SILENT_TIME`] for their first
-    /// request.
+    /// The limit before the first byte. During a shutdown a silent connection is closed when accepting ends,
+    /// but not before it has had [`MIN_SILENT_TIME`] for its first request.
     fn silent_limit(&self, shutdown: Option<ShutdownSchedule>) -> Instant {
         let limit = self.accepted_at + READ_TIMEOUT;
         let Some(schedule) = shutdown else { return limit };
--- a/crates/balancer-agent/src/listener/validation.rs
+++ b/crates/balancer-agent/src/listener/validation.rs
@@ -35,8 +35,8 @@
 const ROUTING_KEY_PREFIX: &str = "key=";
 /// The size limit of a request's id, in bytes.
 const MAX_ID_BYTES: usize = 256;
-/// The part of a client's timeout that is reserved for writing the answer, unless that is more than the timeout
-/// divided by [`ANSWER_WRITE_DIVISOR`].
+/// The part of a client's timeout that is reserved for writing the answer, unless that is more than the
+/// timeout divided by [`ANSWER_WRITE_DIVISOR`].
 const ANSWER_WRITE_TIME: Duration = Duration::from_millis(6);
 /// Bounds the part of a short timeout that is reserved for writing the answer: a quarter of it.
 const ANSWER_WRITE_DIVISOR: u32 = 4;
--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -1,4 +1,5 @@
-//! Attempts: what is forwarded to servers, which failures are retried, and the answer when no attempt succeeds.
+//! Attempts: what is forwarded to servers, which failures are retried, and the answer when no attempt
+//! succeeds.
 
 mod common;
 use common::agent::Agent;
@@ -33,8 +34,8 @@
     assert!(timeout > 0 && timeout < 2_000_000, "{timeout}: must be less than the client's timeout");
 }
 
-/// An unsafe request whose connection breaks after its last byte may have been processed. It is neither retried
-/// nor rejected, as the client may retry a rejected request.
+/// An unsafe request whose connection breaks after its last byte may have been processed. It is neither
+/// retried nor rejected, as the client may retry a rejected request.
 #[tokio::test]
 async fn an_unsafe_request_is_not_retried_if_the_connection_breaks_after_its_last_byte() {
     assert_not_retried(ServerReply::Close(Vec::new())).await;
@@ -56,8 +57,8 @@
     }
 }
 
-/// Only `X-Not-Processed: 1` proves that a request was not processed; a plain 503 may have been sent after the
-/// request was processed.
+/// Only `X-Not-Processed: 1` proves that a request was not processed; a plain 503 may have been sent after
+/// the request was processed.
 #[tokio::test]
 async fn an_unsafe_request_is_not_retried_after_a_plain_503() {
     assert_not_retried(ServerReply::KeepOpen(PLAIN_503.to_vec())).await;
@@ -92,8 +93,8 @@
     assert_eq!(retry.connection, 0, "a rejection must not close the connection");
 }
 
-/// A retry must be sent within its deduplication window. One whose connect may succeed after the window is not
-/// started.
+/// A retry must be sent within its deduplication window. One whose connect may succeed after the window is
+/// not started.
 #[tokio::test]
 async fn a_retry_that_may_miss_its_deduplication_window_is_not_started() {
     assert!(!starts_retry_with_window_ms(5_000).await);
@@ -165,8 +166,8 @@
     }
 }
 
-/// A connect succeeds after the endpoint list has changed the server's entry. The attempt writes nothing to the
-/// connection, and the request is sent to another server.
+/// A connect succeeds after the endpoint list has changed the server's entry. The attempt writes nothing to
+/// the connection, and the request is sent to another server.
 #[tokio::test]
 async fn a_request_is_rerouted_if_its_server_leaves_the_list_during_the_connect() {
     let mut other_server = TestServer::responding_with("other").await;
--- a/crates/balancer-agent/tests/client_connections.rs
+++ b/crates/balancer-agent/tests/client_connections.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Clients open more connections than the agent can hold. Half stay idle after one request, and half never send
-/// a byte. The agent closes enough of them to serve each new client in time.
+/// Clients open more connections than the agent can hold. Half stay idle after one request, and half never
+/// send a byte. The agent closes enough of them to serve each new client in time.
 #[tokio::test]
 async fn idle_and_silent_connections_are_closed_to_make_room() {
     let server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/common/discovery.rs
+++ b/crates/balancer-agent/tests/common/discovery.rs
@@ -92,8 +92,8 @@
 }
 
 impl TestDiscovery {
-    /// Starts a discovery service with this behavior. It runs until the end of the test, even if this value is
-    /// dropped.
+    /// Starts a discovery service with this behavior. It runs until the end of the test, even if this value
+    /// is dropped.
     pub async fn start(behavior: DiscoveryBehavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
--- a/crates/balancer-agent/tests/common/messages.rs
+++ b/crates/balancer-agent/tests/common/messages.rs
@@ -68,7 +68,7 @@
     Some(message)
 }
 
-/// A head, and the bytes behind it that were received with it.
+/// A head, and the bytes after it that were received with it.
 struct ReceivedHead {
     head: String,
     rest: Vec<u8>,
@@ -100,8 +100,8 @@
     format!("{}\r\n", head_without_length("GET", path, timeout))
 }
 
-/// A POST request of the class that the path begins with, with a new request id. In the class `save` it has an
-/// idempotency key.
+/// A POST request of the class that the path begins with, with a new request id. In the class `save` it has
+/// an idempotency key.
 pub fn post_request(path: &str, timeout: &str, body: &str) -> String {
     let head = head_without_length("POST", path, timeout);
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
--- a/crates/balancer-agent/tests/common/mod.rs
+++ b/crates/balancer-agent/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A harness for the agent on loopback sockets: scripted servers and discovery, the agent's process, and clients
-//! that write and read raw bytes.
+//! A harness for the agent on loopback sockets: scripted servers and discovery, the agent's process, and
+//! clients that write and read raw bytes.
 #![allow(dead_code, reason = "each test file is a separate crate and uses only part of the harness")]
 
 pub mod agent;
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -109,8 +109,8 @@
         Self::start(move |_| held_reply.clone()).await
     }
 
-    /// Starts a server that sends this response to each payment once the gate releases it, and replies to other
-    /// requests at once.
+    /// Starts a server that sends this response to each payment once the gate releases it, and replies to
+    /// other requests at once.
     pub async fn holding_payments(
         gate: &ResponseGate,
         payment_response: Vec<u8>,
--- a/crates/balancer-agent/tests/common/setup.rs
+++ b/crates/balancer-agent/tests/common/setup.rs
@@ -12,7 +12,8 @@
 /// A socket limit that is low enough for the clients of a test to use up all connections.
 pub const FEW_SOCKETS: usize = 80;
 
-/// A time after SIGTERM when new connections are no longer accepted, well before SIGKILL with deadlines of 3 s.
+/// A time after SIGTERM when new connections are no longer accepted, well before SIGKILL with deadlines of 3
+/// s.
 pub const AFTER_LAST_ACCEPT: Duration = Duration::from_secs(1);
 
 /// Starts an agent that knows the server at this address. Its discovery answers no call.
--- a/crates/balancer-agent/tests/connection_pool.rs
+++ b/crates/balancer-agent/tests/connection_pool.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// The agent's idle limit is well below the server's keep-alive limit: a request that is sent while the server
-/// closes the connection would be reset.
+/// The agent's idle limit is well below the server's keep-alive limit: a request that is sent while the
+/// server closes the connection would be reset.
 #[tokio::test]
 async fn idle_connections_are_closed_before_the_servers_keep_alive_limit() {
     let mut server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/discovery_watch.rs
+++ b/crates/balancer-agent/tests/discovery_watch.rs
@@ -41,8 +41,8 @@
     );
 }
 
-/// `pushed` discovery exists in the simulator only, where updates are sent unrequested. On sockets the list has
-/// to be watched whatever the settings say.
+/// `pushed` discovery exists in the simulator only, where updates are sent unrequested. On sockets the list
+/// has to be watched whatever the settings say.
 #[tokio::test]
 async fn the_endpoint_list_is_watched_even_if_the_settings_say_pushed() {
     let mut old_server = TestServer::responding_with("old").await;
@@ -124,8 +124,8 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// A change that discovery learns of while no watch is open counts as notified at once, so the retry delay stays
-/// short even after many failures.
+/// A change that discovery learns of while no watch is open counts as notified at once, so the retry delay
+/// stays short even after many failures.
 #[tokio::test]
 async fn the_watch_retry_delay_stays_within_the_drain_notice() {
     let server = TestServer::responding_with("x").await;
@@ -155,8 +155,8 @@
     ]
 }
 
-/// After a malformed or oversized list the known endpoints stay in use, memory use stays low, and the next valid
-/// list is applied.
+/// After a malformed or oversized list the known endpoints stay in use, memory use stays low, and the next
+/// valid list is applied.
 #[tokio::test]
 async fn a_malformed_or_oversized_endpoint_list_is_ignored() {
     let old_server = TestServer::responding_with("old").await;
--- a/crates/balancer-agent/tests/graceful_shutdown.rs
+++ b/crates/balancer-agent/tests/graceful_shutdown.rs
@@ -18,8 +18,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// After SIGTERM idle connections are closed, requests in flight are answered, new connections are still accepted,
-/// each response announces the close of its connection, and the agent exits by itself.
+/// After SIGTERM idle connections are closed, requests in flight are answered, new connections are still
+/// accepted, each response announces the close of its connection, and the agent exits by itself.
 #[tokio::test]
 async fn requests_in_flight_and_late_requests_are_answered() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
@@ -46,8 +46,8 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// A client that behaves as the platform's do: it reuses its connection, opens new ones for a while after SIGTERM,
-/// and retries a request once if its connection was closed without a response.
+/// A client that behaves as the platform's do: it reuses its connection, opens new ones for a while after
+/// SIGTERM, and retries a request once if its connection was closed without a response.
 struct LoadClient {
     agent: SocketAddr,
     kept_connection: Option<TcpStream>,
@@ -131,8 +131,8 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// All slots are in use by connections with open requests. Connections that are in the accept queue when the time
-/// for new connections ends are accepted and answered once slots are free.
+/// All slots are in use by connections with open requests. Connections that are in the accept queue when the
+/// time for new connections ends are accepted and answered once slots are free.
 #[tokio::test]
 async fn connections_in_the_accept_queue_are_accepted_and_answered() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
@@ -204,8 +204,8 @@
     }
 }
 
-/// At SIGTERM one connection has sent nothing, one half a head and one half a body. Each request is completed and
-/// answered, after a second SIGTERM as well.
+/// At SIGTERM one connection has sent nothing, one half a head and one half a body. Each request is completed
+/// and answered, after a second SIGTERM as well.
 #[tokio::test]
 async fn requests_completed_after_the_signal_are_answered() {
     let server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/reconfiguration.rs
+++ b/crates/balancer-agent/tests/reconfiguration.rs
@@ -18,8 +18,8 @@
     Agent::spawn(command, config_file).await
 }
 
-/// After SIGHUP the agent requests the complete list, whatever its version, from the new discovery address in the
-/// file; open requests are not affected. `PROXY_DISCOVERY` applies to the start only.
+/// After SIGHUP the agent requests the complete list, whatever its version, from the new discovery address in
+/// the file; open requests are not affected. `PROXY_DISCOVERY` applies to the start only.
 #[tokio::test]
 async fn a_reload_switches_to_the_new_discovery_address() {
     let other_reply = ServerReply::KeepOpen(ok_response("old"));
--- a/crates/balancer-agent/tests/request_validation.rs
+++ b/crates/balancer-agent/tests/request_validation.rs
@@ -57,8 +57,8 @@
     assert!(!server.has_further_request(), "an invalid request was forwarded");
 }
 
-/// Two peers may read an ambiguous length differently, so that one of them sees a request where the other sees a
-/// body. Such a request is not forwarded, and nothing behind it is read as a request.
+/// Two peers may read an ambiguous length differently, so that one of them sees a request where the other
+/// sees a body. Such a request is not forwarded, and nothing after it is read as a request.
 #[tokio::test]
 async fn a_request_of_ambiguous_length_is_rejected_and_its_connection_closed() {
     let mut server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/server_responses.rs
+++ b/crates/balancer-agent/tests/server_responses.rs
@@ -69,8 +69,8 @@
     ]
 }
 
-/// Each response fails its attempt soon, as one that may have been processed. The agent closes the connection,
-/// which the server keeps open.
+/// Each response fails its attempt soon, as one that may have been processed. The agent closes the
+/// connection, which the server keeps open.
 #[tokio::test]
 async fn a_malformed_or_oversized_response_fails_its_attempt_and_closes_its_connection() {
     let responses = malformed_responses();
@@ -89,8 +89,8 @@
     assert!(!server.has_further_request(), "sent twice");
 }
 
-/// 1xx responses are skipped. A valid response that is followed by further bytes is served, and its connection is
-/// closed.
+/// 1xx responses are skipped. A valid response that is followed by further bytes is served, and its
+/// connection is closed.
 #[tokio::test]
 async fn a_response_followed_by_further_bytes_is_served_and_its_connection_closed() {
     let informational = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
