--- a/crates/balancer-agent/src/listener/response.rs
+++ b/crates/balancer-agent/src/listener/response.rs
@@ -47,6 +47,6 @@
 }
 
 fn retry_after_value(retry_after: Span) -> Option<HeaderValue> {
-    let seconds = retry_after.as_ms() / 1e3;
+    let seconds = retry_after.as_millis_f64() / 1e3;
     HeaderValue::from_str(&format!("{seconds:.3}")).ok()
 }
--- a/crates/balancer-agent/src/listener/validation.rs
+++ b/crates/balancer-agent/src/listener/validation.rs
@@ -155,7 +155,7 @@
     if micros <= 0.0 || !micros.is_finite() {
         return None;
     }
-    Some(Span::from_ms(micros / 1e3))
+    Some(Span::from_millis_f64(micros / 1e3))
 }
 
 /// A header's value, if it is text.
