--- a/crates/balancer-settings/src/wire.rs
+++ b/crates/balancer-settings/src/wire.rs
@@ -169,7 +169,7 @@
     pub(crate) name: String,
 }
 
-/// Points that each kind of cost takes off the score.
+/// Points that each kind of cost subtracts from the score.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WirePenalties {
--- a/crates/simulator-adapter/src/encode/tests.rs
+++ b/crates/simulator-adapter/src/encode/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn actions_about_requests_have_the_form_of_the_wire() {
+fn actions_about_requests_are_encoded_in_the_wire_format() {
     let mut identifiers = known_identifiers();
     let server = known_server(&identifiers);
     let timeout_at = Time::from_millis_f64(8492.25);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn other_actions_have_the_form_of_the_wire() {
+fn other_actions_are_encoded_in_the_wire_format() {
     let mut identifiers = known_identifiers();
     let server = known_server(&identifiers);
     let payload = vec![0x0a, 0xff];
