--- a/.ci/imports_test.py
+++ b/.ci/imports_test.py
@@ -7,7 +7,6 @@
 from importlib.machinery import SourceFileLoader
 from pathlib import Path
 from types import ModuleType
-from unittest import mock
 
 sys.dont_write_bytecode = True
 imports = ModuleType("imports")
@@ -20,7 +19,6 @@
         self.addCleanup(folder.cleanup)
         self.addCleanup(os.chdir, os.getcwd())
         self.repository = Path(folder.name)
-        self.known_imports = {}
 
     def check(self, sources):
         """Writes the source files of a crate, by their names below src/, and runs the check."""
@@ -28,8 +26,7 @@
             file = self.repository / "crates/sample/src" / name
             file.parent.mkdir(parents=True, exist_ok=True)
             file.write_text(text, encoding="utf-8")
-        with mock.patch.object(imports, "KNOWN_IMPORTS", self.known_imports):
-            imports.main(self.repository)
+        imports.main(self.repository)
 
     def assert_refused(self, sources, *expected):
         with self.assertRaises(SystemExit) as refusal:
@@ -163,16 +160,6 @@
         self.assert_refused({"lib.rs": "mod a { }"}, "module a has no file")
         self.assert_refused({"lib.rs": "mod absent;"}, "module absent has no file")
 
-    def test_known_import_is_left_out_and_must_still_be_there(self):
-        sources = {
-            "lib.rs": "mod a; mod b;",
-            "a.rs": "use crate::b::B; pub struct A;",
-            "b.rs": "use crate::a::A; pub struct B;",
-        }
-        self.known_imports = {("crates/sample/src/b.rs", "crates/sample/src/a.rs"): "a reason"}
-        self.check(sources)
-        self.assert_refused(sources | {"b.rs": "pub struct B;"}, "remove it from KNOWN_IMPORTS")
-
 
 if __name__ == "__main__":
     unittest.main()
--- a/crates/balancer-agent/src/listener.rs
+++ b/crates/balancer-agent/src/listener.rs
@@ -8,6 +8,7 @@
 mod request_handler;
 mod response;
 mod shutdown;
+mod slot_usage;
 mod time_limits;
 mod validation;
 
@@ -15,7 +16,7 @@
 use crate::framing::ConnectionState;
 use acceptor::Acceptor;
 use client_connection::ClientConnection;
-use connection_table::{ConnectionTable, SlotUsage};
+use connection_table::ConnectionTable;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
 use hyper::service::service_fn;
@@ -23,6 +24,7 @@
 use request_handler::RequestHandler;
 use response::ClientResponse;
 use shutdown::{ShutdownSchedule, ShutdownSignal};
+use slot_usage::SlotUsage;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
@@ -89,7 +91,8 @@
         let listener = self.clone();
         let state = connection.state().clone();
         let service = service_fn(move |request| listener.clone().answer(request, state.clone()));
-        connection.serve(stream, service, &self.connections, &self.shutdown, self.longest_deadline).await;
+        let slot_usage = || self.connections.usage();
+        connection.serve(stream, service, slot_usage, &self.shutdown, self.longest_deadline).await;
     }
 
     /// Answers one request, and decides whether that is the last answer on its connection.
--- a/crates/balancer-agent/src/listener/client_connection.rs
+++ b/crates/balancer-agent/src/listener/client_connection.rs
@@ -1,8 +1,8 @@
 //! One client connection: serving its requests, and closing it at a time limit, an eviction or a shutdown.
 
-use super::connection_table::{ConnectionId, ConnectionTable};
 use super::response::ClientResponse;
 use super::shutdown::ShutdownSignal;
+use super::slot_usage::SlotUsage;
 use super::time_limits::TimeLimits;
 use crate::framing::{ClientStream, ConnectionState, Phase, MAX_HEAD_BYTES};
 use hyper::body::Incoming;
@@ -20,6 +20,17 @@
 /// How often a connection's time limit is computed anew, as it depends on the phase and on other connections.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Identifies an open connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
+pub struct ConnectionId(u64);
+
+impl ConnectionId {
+    /// The id of the connection that is accepted after this one.
+    pub fn next(self) -> Self {
+        ConnectionId(self.0 + 1)
+    }
+}
+
 /// A connection that has been accepted, shared by the task that serves it and the connection table.
 pub struct ClientConnection {
     id: ConnectionId,
@@ -49,12 +60,13 @@
     }
 
     /// Serves the requests that arrive over the stream until the client closes it, a time limit expires, or
-    /// it is evicted. A shutdown closes it after its last answer.
+    /// it is evicted. A shutdown closes it after its last answer. `slot_usage` tells how scarce slots are
+    /// now.
     pub async fn serve<S>(
         &self,
         stream: TcpStream,
         service: S,
-        connections: &ConnectionTable,
+        slot_usage: impl Fn() -> SlotUsage,
         shutdown: &ShutdownSignal,
         longest_deadline: Duration,
     ) where
@@ -67,7 +79,7 @@
         let mut http_connection = pin!(builder.serve_connection(stream, service));
         let mut is_shutting_down = false;
         loop {
-            let limit = limits.current(&self.state, connections.usage(), shutdown.schedule());
+            let limit = limits.current(&self.state, slot_usage(), shutdown.schedule());
             let now = Instant::now();
             if limit.is_some_and(|limit| now >= limit) {
                 return;
--- a/crates/balancer-agent/src/listener/connection_table.rs
+++ b/crates/balancer-agent/src/listener/connection_table.rs
@@ -1,6 +1,7 @@
 //! The open client connections: their slots, and the eviction of a connection when all slots are in use.
 
-use super::client_connection::ClientConnection;
+use super::client_connection::{ClientConnection, ConnectionId};
+use super::slot_usage::SlotUsage;
 use super::time_limits::{MIN_IDLE_TIME, MIN_SILENT_TIME};
 use crate::framing::{ConnectionState, Phase};
 use std::cell::{Cell, RefCell};
@@ -10,35 +11,13 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// From this share of the slots on, usage is elevated. Clients count connections that they have abandoned
-/// among those that they may hold, so slots become scarce well before all are in use.
-const ELEVATED_USAGE: f64 = 0.25;
-/// From this share of the slots on, usage is high. Clients that send one request and keep the connection use
-/// up the connections that they may hold long before an idle one may be closed.
-const HIGH_USAGE: f64 = 0.5;
 /// How often a wait for a slot looks for a connection that has become evictable.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Identifies an open connection.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct ConnectionId(u64);
-
-/// How scarce connection slots are.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlotUsage {
-    /// Idle connections are kept for long.
-    Low,
-    /// Idle connections are closed as soon as clients allow it.
-    Elevated,
-    /// In addition, each answer announces that it is the last on its connection. No request can cross such a
-    /// close.
-    High,
-}
-
 /// The open client connections.
 pub struct ConnectionTable {
     max_connections: usize,
-    next_id: Cell<u64>,
+    next_id: Cell<ConnectionId>,
     connections: RefCell<HashMap<ConnectionId, Rc<ClientConnection>>>,
     connection_closed: Notify,
 }
@@ -48,7 +27,7 @@
     pub fn new(max_connections: usize) -> Self {
         ConnectionTable {
             max_connections,
-            next_id: Cell::new(0),
+            next_id: Cell::default(),
             connections: RefCell::default(),
             connection_closed: Notify::new(),
         }
@@ -56,21 +35,13 @@
 
     /// How scarce the slots are.
     pub fn usage(&self) -> SlotUsage {
-        let open = self.connections.borrow().len() as f64;
-        let slots = self.max_connections as f64;
-        if open >= HIGH_USAGE * slots {
-            SlotUsage::High
-        } else if open >= ELEVATED_USAGE * slots {
-            SlotUsage::Elevated
-        } else {
-            SlotUsage::Low
-        }
+        SlotUsage::of(self.connections.borrow().len(), self.max_connections)
     }
 
     /// Adds a connection that has just been accepted.
     pub fn open(&self) -> Rc<ClientConnection> {
-        let id = ConnectionId(self.next_id.get());
-        self.next_id.set(id.0 + 1);
+        let id = self.next_id.get();
+        self.next_id.set(id.next());
         let connection = Rc::new(ClientConnection::new(id));
         self.connections.borrow_mut().insert(id, connection.clone());
         connection
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -1,7 +1,7 @@
 //! How long a client connection may stay in each phase.
 
-use super::connection_table::SlotUsage;
 use super::shutdown::ShutdownSchedule;
+use super::slot_usage::SlotUsage;
 use crate::framing::{ConnectionState, Phase};
 use std::time::Duration;
 use tokio::time::Instant;
