--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -1,49 +1,56 @@
-//! Tests of admission control in a sparse view: what lowers the share of requests that are sent, and what
-//! restores it.
+//! Tests of admission control: what lowers the share of requests that are sent, and what restores it.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 use std::cell::Cell;
+use std::collections::BTreeSet;
 
+/// A harness with a sparse view.
 fn harness(seed: u64, server_count: u32) -> Harness {
-    Harness::with_endpoints(sparse_settings(), seed, fleet(server_count, 1, 1))
+    Harness::with_endpoints(sparse_settings(), seed, fleet(server_count))
 }
 
-/// An overload of the whole fleet never ended: limits per server bind nothing at one request in many seconds.
+/// An overload of the whole fleet once never ended: where each balancer sends a server one request in many
+/// seconds, concurrency limits have no effect.
 #[test]
 fn overloaded_fleet_is_sent_little_until_it_recovers() {
     let mut harness = harness(4, 50);
-    serve_with_outcomes(&mut harness, 50, 60, 2.0 * OBJECTIVE_MS, |_| Outcome::TimedOut);
+    serve_with_outcomes(&mut harness, 60, 2.0 * LATENCY_OBJECTIVE_MS, |_| Outcome::TimedOut);
 
     let sent = harness.send_burst(200);
     assert!((1..40).contains(&sent.len()), "{} of 200 sent to an overloaded fleet", sent.len());
     harness.advance_ms(1000.0);
     for request in sent {
-        harness.end_attempt(request.id, 0, Outcome::TimedOut, 1000.0);
-    }
-    for _ in 0..1000 {
-        let request = harness.send_request(0);
-        if request.is_sent() {
-            harness.advance_ms(20.0);
-            harness.succeed(request.id, 20.0);
-        }
+        harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 1000.0);
     }
+    serve_sent_requests(&mut harness, 1000);
 
     let is_next_rejected = |_: &u32| {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         is_rejected(&harness.actions, request.id)
     };
     let rejection_count = (0..50).filter(is_next_rejected).count();
     assert!(rejection_count < 10, "it opens again");
 }
 
-/// A request rejected by a short queue is no sign of overload: it goes elsewhere at once.
+/// Submits requests; each one that is sent immediately succeeds after 20 ms.
+fn serve_sent_requests(harness: &mut Harness, request_count: u32) {
+    for _ in 0..request_count {
+        let request = harness.send_request();
+        if request.is_sent() {
+            harness.advance_ms(20.0);
+            harness.succeed(request.id, 20.0);
+        }
+    }
+}
+
+/// A rejection by one server with a short queue is no sign of overload: the request is retried elsewhere.
 #[test]
 fn single_rejections_do_not_lower_admission() {
     let mut harness = harness(5, 50);
-    serve_with_outcomes(&mut harness, 50, 200, 20.0, |server| match server.0 {
+    serve_with_outcomes(&mut harness, 200, 20.0, |server| match server.0 {
         0..10 => Outcome::Rejected,
         _ => Outcome::Success,
     });
@@ -53,13 +60,13 @@
     assert!(sent_count > 90, "{sent_count} of 100 sent");
 }
 
-/// Full servers are the first sign of overload, seconds before answers are late; heeded only where one
-/// request met two of them, it came too late to keep the servers quick.
+/// Rejections are the first sign of overload, seconds before answers are late. When only the second rejection
+/// of the same request counted, admission was lowered too late to keep the servers fast.
 #[test]
 fn frequent_rejections_lower_admission() {
     let mut harness = harness(8, 50);
     let attempt_count = Cell::new(0);
-    serve_with_outcomes(&mut harness, 50, 300, 20.0, |_| {
+    serve_with_outcomes(&mut harness, 300, 20.0, |_| {
         attempt_count.set(attempt_count.get() + 1);
         match attempt_count.get() % 5 {
             0 | 2 => Outcome::Rejected,
@@ -72,52 +79,50 @@
     assert!((5..60).contains(&sent_count), "{sent_count} of 100 sent");
 }
 
-/// A server that takes half the objective holds several requests for each core and is about to slow down for
-/// long; heeded only from the whole objective on, admission came to rest where slowed servers are never idle
-/// enough to recover.
+/// A server that takes half the latency objective has several requests per core and is about to slow down for
+/// long. When only answers past the objective counted, admission settled where such servers never recover.
 #[test]
 fn answers_slower_than_half_the_objective_signal_overload() {
     let mut harness = harness(14, 50);
-    serve_well(&mut harness, 50, 100, 0.6 * OBJECTIVE_MS);
+    serve_successfully(&mut harness, 100, 0.6 * LATENCY_OBJECTIVE_MS);
 
     let sent_count = harness.send_burst(100).len();
 
     assert!(sent_count < 40, "{sent_count} of 100 sent to servers that take long");
 }
 
-/// Waiting for the answer itself lets the overload grow for as long.
+/// Until the answer arrives, the overload would go on growing.
 #[test]
 fn attempt_counts_as_slow_after_half_the_latency_objective() {
     let mut harness = harness(15, 50);
 
     let waiting_count = harness.send_burst(100).len();
-    harness.advance_ms(0.8 * OBJECTIVE_MS);
+    harness.advance_ms(0.8 * LATENCY_OBJECTIVE_MS);
     let sent_count = harness.send_burst(100).len();
 
     assert!(waiting_count > 90, "{waiting_count} of 100 sent while nothing is known");
     assert!(sent_count < 70, "{sent_count} of 100 sent while as many wait for over half the objective");
 }
 
-/// The servers that were left of a fleet were sent all that it had borne, until their answers told of the
-/// overload; by then they were slow for long. What comes back, as a whole or from a list that was empty, is
-/// sent as much as before.
+/// The remaining servers of a shrunken fleet were once sent the load of the whole fleet until their answers
+/// showed the overload, and stayed slow for long. A fleet that returns, even after an empty list, is sent as
+/// much as before.
 #[test]
 fn shrunken_fleet_is_sent_less_immediately() {
     let mut harness = harness(17, 100);
-    serve_well(&mut harness, 100, 100, 20.0);
+    serve_successfully(&mut harness, 100, 20.0);
 
-    harness.set_endpoints(fleet(40, 1, 1));
+    harness.set_endpoints(fleet(40));
     let sent_to_rest = harness.send_burst(200).len();
     harness.set_endpoints(Vec::new());
-    harness.set_endpoints(fleet(100, 1, 1));
+    harness.set_endpoints(fleet(100));
     let sent_to_all = harness.send_burst(200).len();
 
     assert!((50..110).contains(&sent_to_rest), "{sent_to_rest} of 200 sent to 40 servers, left of 100");
     assert!(sent_to_all > 180, "{sent_to_all} of 200 sent to the fleet that is back");
 }
 
-/// The admitted share of the requests of each of two classes, in an overload that is neither over nor
-/// complete.
+/// The admitted share of the requests of each of two classes, in a partial overload.
 fn admitted_shares(priority_weights: [f64; 2]) -> [f64; 2] {
     let weighted = |priority_weight| RequestClass { priority_weight, ..class(Effect::Idempotent) };
     let settings = Settings {
@@ -125,22 +130,28 @@
         goal: GoalWeights { overall: 0.8, worst_window: 0.0, worst_class: 0.2, worst_tenant: 0.0 },
         ..sparse_settings()
     };
-    let mut harness = Harness::with_endpoints(settings, 19, fleet(50, 1, 1));
+    let mut harness = Harness::with_endpoints(settings, 19, fleet(50));
+    overload_partially(&mut harness);
+    // All at one moment, so that admission does not change meanwhile.
+    let mut sent_by_class = [0, 0];
+    for number in 0..2000 {
+        let class = number % 2;
+        let request = harness.send_request_of(ClassId(class));
+        sent_by_class[class] += u32::from(request.is_sent());
+    }
+    sent_by_class.map(|count| f64::from(count) / 1000.0)
+}
+
+/// Sends requests of two classes in turn, of which two of seven are answered slowly.
+fn overload_partially(harness: &mut Harness) {
     for number in 0..600 {
-        let request = harness.send_request(number % 2);
-        // Two answers of seven are slow.
-        let elapsed_ms = if number % 7 < 2 { 0.6 * OBJECTIVE_MS } else { 20.0 };
+        let request = harness.send_request_of(ClassId(number % 2));
+        let elapsed_ms = if number % 7 < 2 { 0.6 * LATENCY_OBJECTIVE_MS } else { 20.0 };
         harness.advance_ms(elapsed_ms);
         if request.is_sent() {
             harness.succeed(request.id, elapsed_ms);
         }
     }
-    // In one instant, so that nothing is learned meanwhile.
-    let mut sent_by_class = [0, 0];
-    for number in 0..2000 {
-        sent_by_class[number % 2] += u32::from(harness.send_request(number % 2).is_sent());
-    }
-    sent_by_class.map(|count| f64::from(count) / 1000.0)
 }
 
 fn assert_overloaded([first, second]: [f64; 2]) {
@@ -148,8 +159,8 @@
     assert!((0.2..0.9).contains(&average), "{first:.2} and {second:.2}: no overload");
 }
 
-/// The admission probability was the same for all classes, so in an overload as much was rejected of what is
-/// worth most.
+/// The admission probability was once the same for all classes, so that an overload rejected as much of the
+/// most valuable class as of the others.
 #[test]
 fn class_that_costs_the_goal_least_is_shed_first() {
     let [low, high] = admitted_shares([10.0, 30.0]);
@@ -162,3 +173,61 @@
     let ratio = second / first;
     assert!((0.85..1.15).contains(&ratio), "{first:.2} and {second:.2} of classes that are worth alike");
 }
+
+/// Settings of one of twenty balancers.
+fn one_of_twenty_settings() -> Settings {
+    Settings { balancer_count: 20, ..six_attempt_settings() }
+}
+
+/// Submits requests until one is not sent immediately; returns those that were.
+fn send_until_full(harness: &mut Harness) -> Vec<RequestId> {
+    let next_sent = || Some(harness.send_request()).filter(SubmittedRequest::is_sent);
+    std::iter::from_fn(next_sent).map(|request| request.id).collect()
+}
+
+fn succeed_all(harness: &mut Harness, requests: &[RequestId], elapsed_ms: f64) {
+    harness.advance_ms(elapsed_ms);
+    for id in requests {
+        harness.succeed(*id, elapsed_ms);
+    }
+}
+
+/// A balancer with little traffic gets few answers from each server. Before the common admission probability,
+/// it needed half a minute of late answers to end an overload of the whole fleet.
+#[test]
+fn round_of_late_answers_from_the_whole_fleet_halves_sends() {
+    let mut harness = Harness::with_endpoints(one_of_twenty_settings(), 1, fleet(24));
+
+    let before = send_until_full(&mut harness);
+    succeed_all(&mut harness, &before, 250.0);
+    harness.advance_ms(250.0);
+    let after_late_answers = send_until_full(&mut harness);
+    succeed_all(&mut harness, &after_late_answers, 20.0);
+    for _ in 0..500 {
+        harness.send_and_succeed(20.0);
+    }
+    let after_quick_answers = send_until_full(&mut harness);
+
+    let [before, late, quick] = [before, after_late_answers, after_quick_answers].map(|sent| sent.len());
+    assert!(late * 2 < before, "{late} sent, {before} before");
+    assert!(quick * 3 > before, "good answers bring it back: {quick}");
+}
+
+/// A server's pause was once fixed at its last answer, which left servers without a request for up to 47 s after
+/// an overload.
+#[test]
+fn late_answer_at_low_admission_pauses_no_server_after_recovery() {
+    let mut harness = Harness::with_endpoints(one_of_twenty_settings(), 1, fleet(2));
+    for _ in 0..30 {
+        harness.send_and_succeed(190.0);
+        harness.advance_ms(2000.0);
+    }
+
+    let mut used_servers = BTreeSet::new();
+    for _ in 0..150 {
+        used_servers.extend(harness.send_and_succeed(5.0));
+        harness.advance_ms(45.0);
+    }
+
+    assert_eq!(used_servers.len(), 2, "both in use again within 8 s");
+}
--- a/crates/balancer-core/tests/common/actions.rs
+++ b/crates/balancer-core/tests/common/actions.rs
@@ -2,7 +2,7 @@
 
 use balancer_core::{Action, RequestId, ServerId};
 
-/// The server that these actions send a request to first.
+/// The server that the first of these attempts of a request is sent to.
 pub fn find_target(actions: &[Action], id: RequestId) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Send { request, server, .. } if *request == id => Some(*server),
--- /dev/null
+++ b/crates/balancer-core/tests/common/effect_rule.rs
@@ -0,0 +1,60 @@
+//! What may follow an attempt that may have run, by the effect of its request's class.
+
+use super::observed_request::{ObservedAttempt, ObservedRequest};
+use balancer_core::{CellId, DedupScope, Effect, Endpoint, Time, ZoneId};
+
+/// The servers that a request may be sent to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AllowedTargets {
+    All,
+    None,
+    Zone(ZoneId),
+    Cell(CellId),
+}
+
+impl AllowedTargets {
+    /// The servers that a request of this effect may be sent to now, given its attempts so far.
+    pub fn of(request: &ObservedRequest, effect: Effect, now: Time) -> Self {
+        let Some(attempt) = request.first_attempt_that_may_have_run() else { return AllowedTargets::All };
+        match effect {
+            Effect::Idempotent => AllowedTargets::All,
+            Effect::AtMostOnce => AllowedTargets::None,
+            Effect::Deduplicated { scope, window } => {
+                let is_past_window = now.since(attempt.sent_at) > window;
+                if is_past_window {
+                    AllowedTargets::None
+                } else {
+                    AllowedTargets::within(scope, attempt)
+                }
+            }
+        }
+    }
+
+    /// The servers that deduplicate a request that may have run in `attempt`.
+    fn within(scope: DedupScope, attempt: &ObservedAttempt) -> Self {
+        match scope {
+            DedupScope::Fleet => AllowedTargets::All,
+            DedupScope::Zone => AllowedTargets::Zone(attempt.zone),
+            DedupScope::Cell => AllowedTargets::Cell(attempt.cell),
+        }
+    }
+
+    /// Whether a server is outside the zone or cell that the request is restricted to.
+    pub fn is_outside_scope(self, endpoint: &Endpoint) -> bool {
+        match self {
+            AllowedTargets::All | AllowedTargets::None => false,
+            AllowedTargets::Zone(zone) => zone != endpoint.zone,
+            AllowedTargets::Cell(cell) => cell != endpoint.cell,
+        }
+    }
+}
+
+/// Whether a request of this effect may be rejected, which tells its client that a retry is harmless.
+pub fn may_reject(request: &ObservedRequest, effect: Effect) -> bool {
+    let may_have_run = request.first_attempt_that_may_have_run().is_some();
+    match effect {
+        Effect::Idempotent => true,
+        Effect::AtMostOnce => !may_have_run,
+        Effect::Deduplicated { scope, .. } => !may_have_run || scope == DedupScope::Fleet,
+    }
+}
--- a/crates/balancer-core/tests/common/fixtures.rs
+++ b/crates/balancer-core/tests/common/fixtures.rs
@@ -1,12 +1,34 @@
-//! Endpoints, classes and settings that many tests begin with.
+//! Endpoints, classes and settings that many tests start from.
 
-use balancer_core::{CellId, DedupScope, Effect, Endpoint, RequestClass, ServerId, Settings, Span, ZoneId};
+use balancer_core::{
+    AttemptNumber, CellId, DedupScope, Effect, Endpoint, RequestClass, ServerId, Settings, Span, ZoneId,
+};
 
-/// Warm servers, server `n` in zone `n % zone_count` and cell `n % cell_count`.
-pub fn fleet(server_count: u32, zone_count: u32, cell_count: u32) -> Vec<Endpoint> {
+/// The latency objective of [`class`].
+pub const LATENCY_OBJECTIVE_MS: f64 = 200.0;
+/// The deadline of [`class`].
+pub const DEADLINE: Span = Span::from_millis(800);
+
+pub const FIRST_ATTEMPT: AttemptNumber = AttemptNumber(0);
+pub const SECOND_ATTEMPT: AttemptNumber = AttemptNumber(1);
+
+/// The zones and cells of a fleet.
+#[derive(Debug, Clone, Copy)]
+pub struct Topology {
+    pub zone_count: u32,
+    pub cell_count: u32,
+}
+
+/// Warm servers in one zone and one cell, numbered from 0.
+pub fn fleet(server_count: u32) -> Vec<Endpoint> {
+    fleet_in(server_count, Topology { zone_count: 1, cell_count: 1 })
+}
+
+/// Warm servers, numbered from 0; server `n` is in zone `n % zone_count` and cell `n % cell_count`.
+pub fn fleet_in(server_count: u32, topology: Topology) -> Vec<Endpoint> {
     let endpoint = |number: u32| Endpoint {
-        zone: ZoneId(number % zone_count),
-        cell: CellId(number % cell_count),
+        zone: ZoneId(number % topology.zone_count),
+        cell: CellId(number % topology.cell_count),
         ..Endpoint::serving(ServerId(number))
     };
     (0..server_count).map(endpoint).collect()
@@ -16,18 +38,28 @@
 pub fn class(effect: Effect) -> RequestClass {
     RequestClass {
         effect,
-        latency_objective: Span::from_millis(200),
-        deadline: Span::from_millis(800),
+        latency_objective: Span::from_millis_f64(LATENCY_OBJECTIVE_MS),
+        deadline: DEADLINE,
         ..RequestClass::default()
     }
 }
 
+/// Settings with one class of this effect.
+pub fn settings_with_effect(effect: Effect) -> Settings {
+    Settings { classes: vec![class(effect)], ..Settings::default() }
+}
+
 /// Settings with one idempotent class.
 pub fn idempotent_settings() -> Settings {
-    Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() }
+    settings_with_effect(Effect::Idempotent)
+}
+
+/// Settings with one idempotent class whose requests may have six attempts.
+pub fn six_attempt_settings() -> Settings {
+    Settings { max_attempts: 6, ..idempotent_settings() }
 }
 
-/// The effect of requests that servers within `scope` deduplicate.
+/// The effect of requests that the servers within `scope` deduplicate.
 pub fn deduplicated(scope: DedupScope, window_ms: f64) -> Effect {
     Effect::Deduplicated { scope, window: Span::from_millis_f64(window_ms) }
 }
--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -1,6 +1,7 @@
-//! A harness around a balancer: a clock to advance, timers that fire, and a rule checker at its side.
+//! A harness around a balancer: a clock that the test advances, timers that fire, and a rule checker.
 
 use super::actions::find_target;
+use super::fixtures::FIRST_ATTEMPT;
 use super::rule_checker::RuleChecker;
 use balancer_core::{
     Action, AttemptNumber, Balancer, ClassId, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, Request,
@@ -8,21 +9,25 @@
 };
 use std::collections::BTreeSet;
 
-/// A request that was handed to the balancer.
+/// The clock at the start of a test: late enough that every server started long ago.
+const START: Time = Time::from_millis(50_000);
+
+/// A request that was submitted to the balancer.
 #[derive(Debug, Clone, Copy)]
 pub struct SubmittedRequest {
     pub id: RequestId,
-    /// The server that it was sent to at once, if it was.
+    /// The server that it was sent to immediately; `None` if it was not.
     pub server: Option<ServerId>,
 }
 
 impl SubmittedRequest {
+    /// Whether it was sent immediately.
     pub fn is_sent(&self) -> bool {
         self.server.is_some()
     }
 }
 
-/// How a server answers an attempt.
+/// How a server responds to an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Response {
     pub outcome: Outcome,
@@ -38,37 +43,41 @@
 /// Requests that are sent one after the other.
 #[derive(Debug, Clone, Copy)]
 pub struct SequentialLoad {
-    pub server_count: usize,
     pub request_count: u32,
+    /// The time between the end of one request and the next request.
     pub pause_ms: f64,
 }
 
-/// A balancer with its rule checker and its clock.
+/// A balancer with its clock, its timers and its rule checker.
 pub struct Harness {
     pub balancer: Balancer,
     pub rule_checker: RuleChecker,
     pub now: Time,
-    /// What the balancer answered to the last event.
+    /// The actions that the balancer returned for the last event.
     pub actions: Vec<Action>,
     settings: Settings,
     timers: BTreeSet<(Time, TimerId)>,
     next_request: u64,
+    /// The length of the longest endpoint list so far. The servers of a test are numbered from 0.
+    server_count: usize,
 }
 
 impl Harness {
+    /// A harness whose balancer has been started and knows no endpoints.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut harness = Harness {
             balancer: Balancer::new(settings.clone(), seed).expect("usable settings"),
             rule_checker: RuleChecker::new(&settings),
-            now: Time::from_millis(50_000),
+            now: START,
             actions: Vec::new(),
             settings,
             timers: BTreeSet::new(),
             next_request: 0,
+            server_count: 0,
         };
         let mut actions = Vec::new();
         harness.balancer.start(harness.now, &mut actions);
-        harness.take_actions(actions);
+        harness.carry_out(actions);
         harness
     }
 
@@ -79,7 +88,8 @@
         harness
     }
 
-    fn take_actions(&mut self, actions: Vec<Action>) {
+    /// Checks the actions, sets their timers and keeps them for the test.
+    fn carry_out(&mut self, actions: Vec<Action>) {
         for action in &actions {
             self.rule_checker.check_action(self.now, action);
             if let Action::SetTimer { at, timer } = action {
@@ -89,16 +99,16 @@
         self.actions = actions;
     }
 
-    /// Hands an event to the balancer; what it answers is in `actions` afterwards.
+    /// Passes an event to the balancer and returns its actions.
     pub fn handle(&mut self, event: Event) -> &[Action] {
         self.rule_checker.observe_event(self.now, &event);
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        self.take_actions(actions);
+        self.carry_out(actions);
         &self.actions
     }
 
-    /// Advances the clock, firing timers as they come due; returns all actions on the way.
+    /// Advances the clock, firing timers as they become due; returns the actions of all these timers.
     pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -118,27 +128,33 @@
 
     /// Replaces the endpoint list.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+        self.server_count = self.server_count.max(endpoints.len());
         self.handle(Event::Endpoints(EndpointUpdate::Complete(endpoints)));
     }
 
-    /// Hands over a new request of a class, whose client waits for the class's deadline.
-    pub fn send_request(&mut self, class: usize) -> SubmittedRequest {
+    /// Submits a new request of class 0.
+    pub fn send_request(&mut self) -> SubmittedRequest {
+        self.send_request_of(ClassId(0))
+    }
+
+    /// Submits a new request of a class, whose client waits for the class's deadline.
+    pub fn send_request_of(&mut self, class: ClassId) -> SubmittedRequest {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let time_left = self.settings.classes[class].deadline;
-        self.handle(Event::Request(Request::new(id, ClassId(class), time_left)));
+        let time_left = self.settings.classes[class.0].deadline;
+        self.handle(Event::Request(Request::new(id, class, time_left)));
         SubmittedRequest { id, server: self.target_of(id) }
     }
 
-    /// Hands over requests of class 0 in one instant; returns those that were sent.
+    /// Submits requests of class 0 at one moment; returns those that were sent immediately.
     pub fn send_burst(&mut self, request_count: usize) -> Vec<SubmittedRequest> {
-        let requests = (0..request_count).map(|_| self.send_request(0));
+        let requests = (0..request_count).map(|_| self.send_request());
         requests.filter(SubmittedRequest::is_sent).collect()
     }
 
-    /// A request of class 0 that has `elapsed_ms` to be sent and then succeeds; the server it was sent to.
+    /// Submits a request of class 0, which succeeds if it is sent within `elapsed_ms`; returns its server.
     pub fn send_and_succeed(&mut self, elapsed_ms: f64) -> Option<ServerId> {
-        let request = self.send_request(0);
+        let request = self.send_request();
         let server = request.server.or(find_target(&self.advance_ms(elapsed_ms), request.id));
         if server.is_some() {
             self.succeed(request.id, elapsed_ms);
@@ -146,25 +162,25 @@
         server
     }
 
-    /// Sends requests of class 0 one after the other, each attempt answered as `respond` says; returns how
-    /// many attempts each server got.
+    /// Sends requests of class 0 one after the other and ends each attempt as `respond` says; returns the
+    /// number of attempts at each server.
     pub fn serve_sequentially(
         &mut self,
         load: SequentialLoad,
         respond: impl Fn(ServerId) -> Response,
     ) -> Vec<u32> {
-        let mut attempts_by_server = vec![0; load.server_count];
+        let mut attempts_by_server = vec![0; self.server_count];
         for _ in 0..load.request_count {
-            let request = self.send_request(0);
+            let request = self.send_request();
             let mut target = request.server;
-            let mut attempt = 0;
+            let mut attempt = FIRST_ATTEMPT;
             while let Some(server) = target {
                 attempts_by_server[server.0 as usize] += 1;
                 let response = respond(server);
                 self.advance_ms(response.elapsed_ms);
                 self.end_attempt(request.id, attempt, response.outcome, response.elapsed_ms);
                 target = self.target_of(request.id);
-                attempt += 1;
+                attempt.0 += 1;
             }
             self.advance_ms(load.pause_ms);
         }
@@ -176,32 +192,33 @@
         find_target(&self.actions, id)
     }
 
-    /// The first attempt of a request succeeds.
+    /// Ends the first attempt of a request with success.
     pub fn succeed(&mut self, id: RequestId, elapsed_ms: f64) -> &[Action] {
-        self.end_attempt(id, 0, Outcome::Success, elapsed_ms)
+        self.end_attempt(id, FIRST_ATTEMPT, Outcome::Success, elapsed_ms)
     }
 
+    /// Ends an attempt without a load report; a success finishes its request.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
-        attempt: u32,
+        attempt: AttemptNumber,
         outcome: Outcome,
         elapsed_ms: f64,
     ) -> &[Action] {
         self.end_attempt_with_report(id, attempt, Response { outcome, elapsed_ms }, None)
     }
 
-    /// An attempt ends; a success finishes its request.
+    /// Ends an attempt; a success finishes its request.
     pub fn end_attempt_with_report(
         &mut self,
         request: RequestId,
-        attempt: u32,
+        attempt: AttemptNumber,
         response: Response,
         load_report: Option<LoadReport>,
     ) -> &[Action] {
         self.handle(Event::AttemptEnded {
             request,
-            attempt: AttemptNumber(attempt),
+            attempt,
             outcome: response.outcome,
             elapsed: Span::from_millis_f64(response.elapsed_ms),
             load_report,
@@ -209,7 +226,7 @@
         })
     }
 
-    /// Requests whose final answer is overdue.
+    /// The number of requests whose final answer is overdue.
     pub fn lost_request_count(&self) -> usize {
         self.rule_checker.lost_request_count(self.now)
     }
--- a/crates/balancer-core/tests/common/mod.rs
+++ b/crates/balancer-core/tests/common/mod.rs
@@ -1,16 +1,23 @@
-//! What the integration tests share: a harness around a balancer, a checker of its rules, and fixtures.
+//! Shared by the integration tests: a harness around a balancer, a checker of its rules, and fixtures.
 #![allow(dead_code, unused_imports, reason = "each test file uses only a part of it")]
 
 mod actions;
+mod effect_rule;
 mod fixtures;
 mod harness;
+mod observed_fleet;
 mod observed_request;
+mod rule;
 mod rule_checker;
 mod slow_start_checker;
 mod sparse;
 
 pub use actions::{find_target, is_failed, is_rejected, is_send};
-pub use fixtures::{class, deduplicated, fleet, idempotent_settings};
+pub use fixtures::{
+    class, deduplicated, fleet, fleet_in, idempotent_settings, settings_with_effect, six_attempt_settings,
+    Topology, DEADLINE, FIRST_ATTEMPT, LATENCY_OBJECTIVE_MS, SECOND_ATTEMPT,
+};
 pub use harness::{Harness, Response, SequentialLoad, SubmittedRequest};
-pub use rule_checker::{Rule, RuleChecker, Violation};
-pub use sparse::{serve_well, serve_with_outcomes, sparse_settings, OBJECTIVE_MS};
+pub use rule::{Rule, Violation};
+pub use rule_checker::RuleChecker;
+pub use sparse::{serve_successfully, serve_with_outcomes, sparse_settings};
--- a/crates/balancer-core/tests/common/observed_request.rs
+++ b/crates/balancer-core/tests/common/observed_request.rs
@@ -1,10 +1,10 @@
-//! What the rule checker knows of a request and its attempts.
+//! What the rule checker knows about a request and its attempts.
 
 use balancer_core::{CellId, Outcome, Request, Span, Time, ZoneId};
 
-/// Time past the client's deadline in which a final answer still counts.
-const ANSWER_GRACE: Span = Span(20_000);
-/// A request with this cost hint counts as one of the usual size.
+/// A final answer up to this long after the client's deadline is still in time.
+const ANSWER_GRACE: Span = Span::from_millis(20);
+/// A request with this cost hint is one unit of work.
 const USUAL_COST_MS: f64 = 40.0;
 
 /// An attempt that the balancer has sent.
@@ -13,7 +13,7 @@
     pub sent_at: Time,
     pub zone: ZoneId,
     pub cell: CellId,
-    /// None while it is in flight.
+    /// `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -27,17 +27,18 @@
     }
 }
 
-/// A request that the balancer was given.
+/// A request that was submitted to the balancer.
 #[derive(Debug)]
 pub struct ObservedRequest {
-    /// Index of its class in the settings.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// In requests of the usual size, by the cost hint.
+    /// Its work by its cost hint, in requests of the usual cost.
     pub work: f64,
     pub deadline: Time,
     pub attempts: Vec<ObservedAttempt>,
     pub is_finished: bool,
-    pub is_bound_to_stream: bool,
+    /// Whether its response has begun to stream, so that it can't be sent again.
+    pub is_streaming: bool,
 }
 
 impl ObservedRequest {
@@ -48,13 +49,13 @@
             deadline: now + request.time_left,
             attempts: Vec::new(),
             is_finished: false,
-            is_bound_to_stream: false,
+            is_streaming: false,
         }
     }
 
-    /// Takes in the end of an attempt; only its first outcome counts.
-    pub fn end_attempt(&mut self, number: usize, outcome: Outcome, is_request_finished: bool) {
-        if let Some(attempt) = self.attempts.get_mut(number) {
+    /// Records the end of an attempt; only the first end of an attempt counts.
+    pub fn end_attempt(&mut self, index: usize, outcome: Outcome, is_request_finished: bool) {
+        if let Some(attempt) = self.attempts.get_mut(index) {
             attempt.outcome.get_or_insert(outcome);
         }
         self.is_finished |= is_request_finished;
@@ -73,8 +74,8 @@
         now > self.deadline + ANSWER_GRACE
     }
 
-    /// Whether its final answer is overdue and has not come.
+    /// Whether it has no final answer and it is too late for one.
     pub fn is_lost(&self, now: Time) -> bool {
-        !self.is_finished && !self.is_bound_to_stream && self.is_overdue(now)
+        !self.is_finished && !self.is_streaming && self.is_overdue(now)
     }
 }
--- a/crates/balancer-core/tests/common/rule_checker.rs
+++ b/crates/balancer-core/tests/common/rule_checker.rs
@@ -1,52 +1,13 @@
-//! A checker that holds a balancer to its four rules without knowing how decisions are made: one final answer
-//! in time, no duplicate effect, nothing for draining servers, and slow start.
+//! Checks that a balancer keeps its four rules, without knowing how it decides: one final answer in time, no
+//! duplicate effect, nothing sent to draining servers, and slow start.
 
+use super::effect_rule::{may_reject, AllowedTargets};
+use super::observed_fleet::ObservedFleet;
 use super::observed_request::{ObservedAttempt, ObservedRequest};
+use super::rule::{Rule, Violation};
 use super::slow_start_checker::SlowStartChecker;
-use balancer_core::{
-    Action, CellId, DedupScope, Effect, Endpoint, EndpointUpdate, Event, RequestId, ServerId, Settings, Time,
-    ZoneId,
-};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// What an action can violate.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rule {
-    KnownServer,
-    KnownRequest,
-    NoSendAfterTheEnd,
-    NoSendWhenBoundToAStream,
-    MaxAttempts,
-    NoHedgingUnlessAllowed,
-    NoSendPastTheDeadline,
-    /// It may have run and must not be sent again.
-    NoRetryAfterItMayHaveRun,
-    /// It may have run and may only be sent where it is deduplicated.
-    RetryWithinDeduplicationScope,
-    /// Nothing is sent to a server that drains or is gone.
-    NoSendToDrainingServer,
-    NoRejectionAfterItMayHaveRun,
-    OneEnd,
-    EndInTime,
-    /// A server that is warming up is sent its share only.
-    SlowStart,
-}
-
-/// A violation of a rule.
-#[derive(Debug, Clone)]
-pub struct Violation {
-    pub at: Time,
-    pub rule: Rule,
-    pub details: String,
-}
-
-/// Where a request may be sent.
-enum AllowedTargets {
-    All,
-    None,
-    Zone(ZoneId),
-    Cell(CellId),
-}
+use balancer_core::{Action, Effect, Endpoint, EndpointUpdate, Event, RequestId, ServerId, Settings, Time};
+use std::collections::BTreeMap;
 
 /// An action that sends an attempt.
 struct SentAttempt {
@@ -55,13 +16,12 @@
     timeout_at: Time,
 }
 
-/// Observes events and actions and notes every violation of a rule.
+/// Observes events and actions and records every violation of a rule.
 pub struct RuleChecker {
     pub violations: Vec<Violation>,
     settings: Settings,
     requests: BTreeMap<RequestId, ObservedRequest>,
-    endpoints: BTreeMap<ServerId, Endpoint>,
-    draining_since: BTreeMap<ServerId, Time>,
+    fleet: ObservedFleet,
     slow_start: SlowStartChecker,
 }
 
@@ -71,13 +31,12 @@
             violations: Vec::new(),
             settings: settings.clone(),
             requests: BTreeMap::new(),
-            endpoints: BTreeMap::new(),
-            draining_since: BTreeMap::new(),
+            fleet: ObservedFleet::default(),
             slow_start: SlowStartChecker::new(settings),
         }
     }
 
-    /// Takes in an event, before the balancer handles it.
+    /// Records an event, before the balancer handles it.
     pub fn observe_event(&mut self, now: Time, event: &Event) {
         match event {
             Event::Request(request) => {
@@ -90,7 +49,7 @@
             }
             Event::FirstByte { request, .. } => {
                 if let Some(request) = self.requests.get_mut(request) {
-                    request.is_bound_to_stream = true;
+                    request.is_streaming = true;
                 }
             }
             Event::ClientDisconnected { request } => {
@@ -104,29 +63,8 @@
     }
 
     fn update_endpoints(&mut self, now: Time, update: &EndpointUpdate) {
-        let (endpoints, is_complete) = match update {
-            EndpointUpdate::Changes(endpoints) => (endpoints, false),
-            EndpointUpdate::Complete(endpoints) | EndpointUpdate::Cached(endpoints) => (endpoints, true),
-            EndpointUpdate::Failed => return,
-        };
-        let named: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
-        if is_complete {
-            for server in self.endpoints.keys().filter(|server| !named.contains(server)) {
-                self.draining_since.entry(*server).or_insert(now);
-            }
-        }
-        for endpoint in endpoints {
-            let before = self.endpoints.insert(endpoint.server, endpoint.clone());
-            if before.is_some_and(|before| before.started_at != endpoint.started_at) {
-                self.slow_start.forget(endpoint.server);
-            }
-        }
-        for server in named {
-            if self.endpoints[&server].is_serving() {
-                self.draining_since.remove(&server);
-            } else {
-                self.draining_since.entry(server).or_insert(now);
-            }
+        for server in self.fleet.update(now, update) {
+            self.slow_start.forget(server);
         }
     }
 
@@ -137,9 +75,7 @@
                 self.check_send(now, &SentAttempt { request, server, timeout_at });
             }
             Action::Reject { request, .. } => {
-                if self.requests.get(&request).is_some_and(|observed| !self.may_reject(observed)) {
-                    self.report(now, Rule::NoRejectionAfterItMayHaveRun, format!("{request:?}"));
-                }
+                self.check_rejection(now, request);
                 self.check_end(now, request);
             }
             Action::Fail { request } => self.check_end(now, request),
@@ -152,80 +88,71 @@
     }
 
     fn check_send(&mut self, now: Time, sent: &SentAttempt) {
-        let Some(endpoint) = self.endpoints.get(&sent.server).cloned() else {
-            return self.report(now, Rule::KnownServer, format!("sent to {:?}", sent.server));
+        let Some(endpoint) = self.fleet.get(sent.server).cloned() else {
+            self.report(now, Rule::KnownServer, format!("sent to {:?}", sent.server));
+            return;
         };
-        let Some(observed) = self.requests.get(&sent.request) else {
-            return self.report(now, Rule::KnownRequest, format!("sent {:?}", sent.request));
+        let Some(request) = self.requests.get(&sent.request) else {
+            self.report(now, Rule::KnownRequest, format!("sent {:?}", sent.request));
+            return;
         };
-        let work = observed.work;
-        for rule in self.rules_violated_by(now, sent, observed, &endpoint) {
+        for rule in self.rules_violated_by(now, sent, request, &endpoint) {
             self.report(now, rule, format!("{:?} sent to {:?}", sent.request, sent.server));
         }
-        let (zone, cell) = (endpoint.zone, endpoint.cell);
-        let attempt = ObservedAttempt { sent_at: now, zone, cell, outcome: None };
-        self.requests.get_mut(&sent.request).expect("looked up above").attempts.push(attempt);
-        if let Some(overload) = self.slow_start.record(now, sent.server, work, &self.endpoints) {
-            let (sent_work, warm_average) = (overload.sent_work, overload.warm_average);
-            let details = format!("{:?}: {sent_work} where a warm one has {warm_average:.1}", sent.server);
-            self.report(now, Rule::SlowStart, details);
-        }
+        self.record_attempt(now, sent.request, &endpoint);
+        self.check_slow_start(now, sent.request, &endpoint);
     }
 
     fn rules_violated_by(
         &self,
         now: Time,
         sent: &SentAttempt,
-        observed: &ObservedRequest,
+        request: &ObservedRequest,
         endpoint: &Endpoint,
     ) -> Vec<Rule> {
-        let is_concurrent = observed.has_attempt_in_flight() && !self.settings.allows_hedging;
-        let is_past_deadline = now > observed.deadline || sent.timeout_at > observed.deadline;
-        let targets = self.allowed_targets(observed, now);
-        let is_outside_scope = match targets {
-            AllowedTargets::All | AllowedTargets::None => false,
-            AllowedTargets::Zone(zone) => zone != endpoint.zone,
-            AllowedTargets::Cell(cell) => cell != endpoint.cell,
-        };
-        let draining_since = self.draining_since.get(&sent.server);
-        let is_draining = draining_since.is_some_and(|since| now > *since + self.settings.drain_grace);
+        let has_max_attempts = request.attempts.len() >= self.settings.max_attempts as usize;
+        let is_concurrent = request.has_attempt_in_flight() && !self.settings.allows_hedging;
+        let is_past_deadline = now > request.deadline || sent.timeout_at > request.deadline;
+        let targets = AllowedTargets::of(request, self.effect_of(request), now);
+        let is_draining = self.fleet.has_drained_for(sent.server, self.settings.drain_grace, now);
         let checks = [
-            (observed.is_finished, Rule::NoSendAfterTheEnd),
-            (observed.is_bound_to_stream, Rule::NoSendWhenBoundToAStream),
-            (observed.attempts.len() >= self.settings.max_attempts as usize, Rule::MaxAttempts),
+            (request.is_finished, Rule::NoSendAfterTheEnd),
+            (request.is_streaming, Rule::NoSendWhileStreaming),
+            (has_max_attempts, Rule::MaxAttempts),
             (is_concurrent, Rule::NoHedgingUnlessAllowed),
             (is_past_deadline, Rule::NoSendPastTheDeadline),
-            (matches!(targets, AllowedTargets::None), Rule::NoRetryAfterItMayHaveRun),
-            (is_outside_scope, Rule::RetryWithinDeduplicationScope),
+            (targets == AllowedTargets::None, Rule::NoRetryAfterItMayHaveRun),
+            (targets.is_outside_scope(endpoint), Rule::RetryWithinDeduplicationScope),
             (is_draining, Rule::NoSendToDrainingServer),
         ];
         checks.into_iter().filter_map(|(is_violated, rule)| is_violated.then_some(rule)).collect()
     }
 
-    /// Where a request may be sent, given what may have run of it.
-    fn allowed_targets(&self, observed: &ObservedRequest, now: Time) -> AllowedTargets {
-        let Some(attempt) = observed.first_attempt_that_may_have_run() else { return AllowedTargets::All };
-        match self.settings.classes[observed.class].effect {
-            Effect::Idempotent => AllowedTargets::All,
-            Effect::AtMostOnce => AllowedTargets::None,
-            Effect::Deduplicated { scope, window } => {
-                let is_window_over = now.since(attempt.sent_at) > window;
-                match scope {
-                    _ if is_window_over => AllowedTargets::None,
-                    DedupScope::Fleet => AllowedTargets::All,
-                    DedupScope::Zone => AllowedTargets::Zone(attempt.zone),
-                    DedupScope::Cell => AllowedTargets::Cell(attempt.cell),
-                }
-            }
+    fn effect_of(&self, request: &ObservedRequest) -> Effect {
+        self.settings.classes[request.class].effect
+    }
+
+    fn record_attempt(&mut self, now: Time, request: RequestId, endpoint: &Endpoint) {
+        let attempt =
+            ObservedAttempt { sent_at: now, zone: endpoint.zone, cell: endpoint.cell, outcome: None };
+        self.requests.get_mut(&request).expect("the request is known").attempts.push(attempt);
+    }
+
+    fn check_slow_start(&mut self, now: Time, request: RequestId, endpoint: &Endpoint) {
+        let work = self.requests[&request].work;
+        if let Some(overload) = self.slow_start.record(now, endpoint, work, &self.fleet) {
+            let details = format!(
+                "{:?}: {} where a warm one has {:.1}",
+                endpoint.server, overload.sent_work, overload.warm_average
+            );
+            self.report(now, Rule::SlowStart, details);
         }
     }
 
-    fn may_reject(&self, observed: &ObservedRequest) -> bool {
-        let may_have_run = observed.first_attempt_that_may_have_run().is_some();
-        match self.settings.classes[observed.class].effect {
-            Effect::Idempotent => true,
-            Effect::AtMostOnce => !may_have_run,
-            Effect::Deduplicated { scope, .. } => !may_have_run || scope == DedupScope::Fleet,
+    fn check_rejection(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if !may_reject(request, self.effect_of(request)) {
+            self.report(now, Rule::NoRejectionAfterItMayHaveRun, format!("{id:?}"));
         }
     }
 
@@ -245,6 +172,6 @@
 
     /// The number of requests whose final answer is overdue.
     pub fn lost_request_count(&self, now: Time) -> usize {
-        self.requests.values().filter(|observed| observed.is_lost(now)).count()
+        self.requests.values().filter(|request| request.is_lost(now)).count()
     }
 }
--- /dev/null
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -0,0 +1,129 @@
+//! Tests of the concurrency limit of a server: it follows the latency of the server's answers.
+
+mod common;
+
+use balancer_core::*;
+use common::*;
+use std::collections::BTreeMap;
+
+/// Requests that fill all servers, and the first one that is queued.
+struct FullFleet {
+    sent: Vec<RequestId>,
+    queued: RequestId,
+}
+
+/// Submits requests until one is queued.
+fn fill_servers(harness: &mut Harness) -> FullFleet {
+    let mut sent = Vec::new();
+    loop {
+        let request = harness.send_request();
+        if !request.is_sent() {
+            return FullFleet { sent, queued: request.id };
+        }
+        sent.push(request.id);
+    }
+}
+
+/// Submits requests until one is queued and answers all after `elapsed_ms`; returns how many were sent
+/// immediately.
+fn fill_and_answer(harness: &mut Harness, elapsed_ms: f64) -> usize {
+    let FullFleet { sent, queued } = fill_servers(harness);
+    let sent_count = sent.len();
+    harness.advance_ms(elapsed_ms);
+    let mut target_of_queued = None;
+    for id in sent {
+        target_of_queued = target_of_queued.or(find_target(harness.succeed(id, elapsed_ms), queued));
+    }
+    if target_of_queued.is_some() {
+        harness.succeed(queued, elapsed_ms);
+    }
+    harness.advance_ms(250.0);
+    sent_count
+}
+
+#[test]
+fn late_answers_lower_concurrency_and_quick_answers_restore_it() {
+    let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(2));
+
+    let before = fill_and_answer(&mut harness, 20.0);
+    for _ in 0..10 {
+        fill_and_answer(&mut harness, 210.0);
+    }
+    let after_late_answers = fill_and_answer(&mut harness, 210.0);
+    for _ in 0..60 {
+        fill_and_answer(&mut harness, 15.0);
+    }
+    let after_quick_answers = fill_and_answer(&mut harness, 15.0);
+
+    assert!(after_late_answers < before, "{after_late_answers} after late answers, {before} before");
+    assert!(after_quick_answers > after_late_answers + 2, "limits must grow again, from one and a half too");
+}
+
+/// Limits that grew beyond the requests in flight once let a burst fill every server and overload the fleet.
+#[test]
+fn concurrency_limit_not_in_full_use_does_not_grow() {
+    let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(1));
+    for _ in 0..400 {
+        let pair = [harness.send_request(), harness.send_request()];
+        harness.advance_ms(20.0);
+        for request in pair {
+            harness.succeed(request.id, 20.0);
+        }
+    }
+
+    let sent_count = harness.send_burst(20).len();
+
+    assert!((2..=3).contains(&sent_count), "{sent_count} sent at once, two were in use");
+}
+
+/// A request rejected by a full server must not be retried at every other server immediately.
+#[test]
+fn full_servers_are_left_alone_for_a_while() {
+    let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(3));
+    let mut send_count = 0;
+    let mut next_attempts: BTreeMap<RequestId, AttemptNumber> = BTreeMap::new();
+
+    for _ in 0..200 {
+        harness.send_request();
+        let mut pending_actions = harness.actions.clone();
+        pending_actions.extend(harness.advance_ms(5.0));
+        while let Some(action) = pending_actions.pop() {
+            if let Action::Send { request, .. } = action {
+                send_count += 1;
+                let attempt = next_attempts.entry(request).or_insert(FIRST_ATTEMPT);
+                let actions = harness.end_attempt(request, *attempt, Outcome::Rejected, 1.0);
+                pending_actions.extend_from_slice(actions);
+                attempt.0 += 1;
+            }
+        }
+    }
+    harness.advance_ms(300.0);
+
+    assert!(send_count < 120, "{send_count} attempts for 200 requests to full servers");
+    harness.assert_no_violations();
+}
+
+/// The number of 300 requests that one of `balancer_count` balancers sends to a server that answers late.
+fn sends_to_late_server(balancer_count: u32) -> u32 {
+    let settings = Settings { balancer_count, ..six_attempt_settings() };
+    let mut harness = Harness::with_endpoints(settings, 1, fleet(1));
+    let mut send_count = 0;
+    for _ in 0..300 {
+        let request = harness.send_request();
+        harness.advance_ms(250.0);
+        if request.is_sent() {
+            send_count += 1;
+            harness.succeed(request.id, 250.0);
+        }
+    }
+    send_count
+}
+
+/// With a limit of one request each, many balancers would still overload a server.
+#[test]
+fn concurrency_limits_fall_below_one_with_many_balancers() {
+    let alone = sends_to_late_server(1);
+    let among_twenty = sends_to_late_server(20);
+
+    assert!(among_twenty * 3 < alone, "{among_twenty} sends beside twenty others, {alone} alone");
+}
--- a/crates/balancer-core/tests/draining.rs
+++ b/crates/balancer-core/tests/draining.rs
@@ -1,19 +1,19 @@
-//! Tests that nothing new is sent to servers that drain or are gone, and that a broken watch of the endpoint
-//! list is opened again.
+//! Tests that draining and removed servers are sent no requests, and that a failed watch of the endpoint list is
+//! reopened.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// Updates a list of two servers so that only the second takes requests, and checks that it gets them all.
-fn assert_first_server_gets_nothing_after(update: impl Fn(Vec<Endpoint>) -> EndpointUpdate) {
-    let mut harness = Harness::with_endpoints(idempotent_settings(), 2, fleet(2, 1, 1));
+/// Applies an update after which only the second of two servers is serving; asserts that it gets all requests.
+fn assert_first_server_gets_no_requests_after(update: impl Fn(Vec<Endpoint>) -> EndpointUpdate) {
+    let mut harness = Harness::with_endpoints(idempotent_settings(), 2, fleet(2));
 
-    harness.handle(Event::Endpoints(update(fleet(2, 1, 1))));
+    harness.handle(Event::Endpoints(update(fleet(2))));
 
     for _ in 0..50 {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         assert_eq!(request.server, Some(ServerId(1)));
         harness.advance_ms(10.0);
         harness.succeed(request.id, 10.0);
@@ -24,7 +24,7 @@
 #[test]
 fn draining_or_removed_endpoint_gets_no_requests() {
     for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
-        assert_first_server_gets_nothing_after(|endpoints| {
+        assert_first_server_gets_no_requests_after(|endpoints| {
             EndpointUpdate::Changes(vec![Endpoint { status, ..endpoints[0].clone() }])
         });
     }
@@ -32,28 +32,28 @@
 
 #[test]
 fn endpoint_missing_from_a_complete_list_gets_no_requests() {
-    assert_first_server_gets_nothing_after(|endpoints| EndpointUpdate::Complete(endpoints[1..].to_vec()));
+    assert_first_server_gets_no_requests_after(|endpoints| EndpointUpdate::Complete(endpoints[1..].to_vec()));
 }
 
 #[test]
-fn last_of_two_entries_for_a_server_counts() {
-    assert_first_server_gets_nothing_after(|endpoints| {
+fn last_of_two_entries_for_a_server_is_used() {
+    assert_first_server_gets_no_requests_after(|endpoints| {
         let draining = Endpoint { status: EndpointStatus::Draining, ..endpoints[0].clone() };
         EndpointUpdate::Complete(vec![endpoints[0].clone(), endpoints[1].clone(), draining])
     });
 }
 
 #[test]
-fn failed_watch_is_reopened_and_the_old_endpoint_list_stands() {
+fn failed_watch_is_reopened_and_the_endpoint_list_is_kept() {
     let settings = Settings { discovery_mode: DiscoveryMode::OnRequest, ..idempotent_settings() };
     let mut harness = Harness::new(settings, 2);
     assert!(harness.actions.contains(&Action::WatchEndpoints), "watched from the start");
-    harness.set_endpoints(fleet(2, 1, 1));
+    harness.set_endpoints(fleet(2));
 
     let mut watch_count = 0;
     for _ in 0..5 {
         harness.handle(Event::Endpoints(EndpointUpdate::Failed));
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         assert!(request.is_sent());
         harness.succeed(request.id, 10.0);
         let actions = harness.advance_ms(5000.0);
--- a/crates/balancer-core/tests/invalid_input.rs
+++ b/crates/balancer-core/tests/invalid_input.rs
@@ -1,30 +1,29 @@
-//! Tests that invalid load reports and a clock that jumps leave the fleet in use and every request answered.
+//! Tests that despite invalid load reports or a jump of the clock, all servers are used and all requests are
+//! answered.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
+const CLOCK_JUMP: Span = Span::from_secs(3600);
+
 fn settings() -> Settings {
     Settings { load_report_fields: vec![LoadReportField::InFlight], ..idempotent_settings() }
 }
 
-/// The number of requests sent to each of four servers, the first of which reports `report_of_first`.
-fn requests_by_server(report_of_first: &[f64]) -> [u32; 4] {
-    let mut harness = Harness::with_endpoints(settings(), 3, fleet(4, 1, 1));
+/// The number of requests sent to each of four servers, when server 0 sends these load reports.
+fn requests_by_server(report_of_server_0: &[f64]) -> [u32; 4] {
+    let mut harness = Harness::with_endpoints(settings(), 3, fleet(4));
     let mut requests_by_server = [0; 4];
     for _ in 0..200 {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         let server = request.server.expect("an idle fleet takes it");
         requests_by_server[server.0 as usize] += 1;
         harness.advance_ms(20.0);
-        let report = if server.0 == 0 { report_of_first.to_vec() } else { vec![0.0] };
-        harness.end_attempt_with_report(
-            request.id,
-            0,
-            Response::success(20.0),
-            Some(LoadReport::new(report)),
-        );
+        let report = if server.0 == 0 { report_of_server_0.to_vec() } else { vec![0.0] };
+        let report = Some(LoadReport::new(report));
+        harness.end_attempt_with_report(request.id, FIRST_ATTEMPT, Response::success(20.0), report);
         harness.advance_ms(10.0);
     }
     harness.assert_no_violations();
@@ -44,17 +43,17 @@
 
 #[test]
 fn clock_jump_keeps_the_fleet_in_use_and_every_request_answered() {
-    let mut harness = Harness::with_endpoints(settings(), 3, fleet(4, 1, 1));
-    let in_flight: Vec<SubmittedRequest> = (0..6).map(|_| harness.send_request(0)).collect();
+    let mut harness = Harness::with_endpoints(settings(), 3, fleet(4));
+    let in_flight: Vec<SubmittedRequest> = (0..6).map(|_| harness.send_request()).collect();
 
-    harness.now = harness.now + Span::from_millis(3_600_000);
+    harness.now = harness.now + CLOCK_JUMP;
     for request in in_flight {
-        harness.end_attempt(request.id, 0, Outcome::TimedOut, 800.0);
+        harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 800.0);
     }
     harness.advance_ms(1000.0);
 
     let is_served = |_: &u32| {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         harness.advance_ms(20.0);
         if request.is_sent() {
             harness.succeed(request.id, 20.0);
--- a/crates/balancer-core/tests/load_polling.rs
+++ b/crates/balancer-core/tests/load_polling.rs
@@ -1,11 +1,11 @@
-//! Tests of load polling: in a sparse view, cheap health checks tell the loads of a request's candidates.
+//! Tests of load polling: in a sparse view, cheap health checks find out the loads of a request's candidates.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// The one of ten servers that is warming up.
+/// The server that is warming up, one of ten.
 const WARMING_UP: ServerId = ServerId(9);
 
 fn polling_settings() -> Settings {
@@ -17,7 +17,7 @@
     }
 }
 
-/// The servers whose health the last actions check.
+/// The servers that the last actions send a health check to.
 fn polled_servers(harness: &Harness) -> Vec<ServerId> {
     let polled = |action: &Action| match action {
         Action::CheckHealth { server } => Some(*server),
@@ -26,7 +26,7 @@
     harness.actions.iter().filter_map(polled).collect()
 }
 
-/// A polled server reports its load; returns where a request is sent then.
+/// Ends the poll of a server with its load; returns the server that a request is sent to because of it.
 fn report_load(harness: &mut Harness, server: ServerId, in_flight: f64) -> Option<ServerId> {
     let actions = harness.handle(Event::HealthChecked {
         server,
@@ -40,11 +40,12 @@
     })
 }
 
-/// A third of the answers were late by chance alone, own counts being all zero.
+/// Without load polls, a third of the answers were late by chance: a balancer had no requests of its own in
+/// flight to compare servers by.
 #[test]
 fn cheap_load_polls_find_the_least_loaded_candidate() {
-    let mut harness = Harness::with_endpoints(polling_settings(), 10, fleet(20, 1, 1));
-    let request = harness.send_request(0);
+    let mut harness = Harness::with_endpoints(polling_settings(), 10, fleet(20));
+    let request = harness.send_request();
     assert_eq!(request.server, None, "it waits for its candidates");
     let candidates = polled_servers(&harness);
     assert!(candidates.len() >= 2, "{candidates:?}");
@@ -62,16 +63,16 @@
 
 #[test]
 fn silent_poll_candidate_is_neither_awaited_nor_chosen() {
-    let mut harness = Harness::with_endpoints(polling_settings(), 11, fleet(20, 1, 1));
+    let mut harness = Harness::with_endpoints(polling_settings(), 11, fleet(20));
 
-    let request = harness.send_request(0);
+    let request = harness.send_request();
     let candidates = polled_servers(&harness);
     report_load(&mut harness, candidates[0], 3.0);
-    let actions = harness.advance_ms(0.06 * OBJECTIVE_MS);
+    let actions = harness.advance_ms(0.06 * LATENCY_OBJECTIVE_MS);
     assert_eq!(find_target(&actions, request.id), Some(candidates[0]));
 
-    let request = harness.send_request(0);
-    let actions = harness.advance_ms(0.06 * OBJECTIVE_MS);
+    let request = harness.send_request();
+    let actions = harness.advance_ms(0.06 * LATENCY_OBJECTIVE_MS);
     assert!(find_target(&actions, request.id).is_some(), "with no report at all it is sent all the same");
 }
 
@@ -84,32 +85,41 @@
         Settings { allows_health_checks: false, ..polling_settings() },
         Settings { balancer_count: 10, ..polling_settings() },
     ] {
-        let mut harness = Harness::with_endpoints(settings, 12, fleet(20, 1, 1));
+        let mut harness = Harness::with_endpoints(settings, 12, fleet(20));
 
-        let request = harness.send_request(0);
+        let request = harness.send_request();
 
         assert!(request.is_sent());
         assert!(polled_servers(&harness).is_empty());
     }
 }
 
-/// An idle server that is warming up would win every choice that it is polled for, at all balancers at once.
+/// Ends all polls, of which only the one of the server that is warming up reports no load; returns the server
+/// that a request is sent to because of them.
+fn report_lowest_load_at_warming_up_server(harness: &mut Harness) -> Option<ServerId> {
+    let mut target = None;
+    for server in polled_servers(harness) {
+        let in_flight = if server == WARMING_UP { 0.0 } else { 2.0 };
+        target = target.or(report_load(harness, server, in_flight));
+    }
+    target
+}
+
+/// An idle server that is warming up would have the lowest load in every poll, at all balancers at once.
 #[test]
 fn idle_warming_up_server_does_not_attract_requests() {
     for settings in [sparse_settings(), polling_settings()] {
         let mut harness = Harness::new(settings, 13);
-        let mut endpoints = fleet(10, 1, 1);
+        let mut endpoints = fleet(10);
         endpoints[9].started_at = Some(harness.now);
         harness.set_endpoints(endpoints);
 
-        let (mut to_warming_up, mut total) = (0, 0);
+        let mut to_warming_up = 0;
+        let mut total = 0;
         for _ in 0..400 {
-            let request = harness.send_request(0);
-            let mut target = request.server;
-            for server in polled_servers(&harness) {
-                let in_flight = if server == WARMING_UP { 0.0 } else { 2.0 };
-                target = target.or(report_load(&mut harness, server, in_flight));
-            }
+            let request = harness.send_request();
+            let polled_target = report_lowest_load_at_warming_up_server(&mut harness);
+            let target = request.server.or(polled_target);
             to_warming_up += u32::from(target.expect("sent") == WARMING_UP);
             total += 1;
             harness.succeed(request.id, 20.0);
--- a/crates/balancer-core/tests/memory_growth.rs
+++ b/crates/balancer-core/tests/memory_growth.rs
@@ -1,18 +1,21 @@
-//! Tests that records do not outlive their requests: memory must not grow with requests served.
+//! Tests that the memory of a balancer does not grow with the number of requests served.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not tell.
+const MAX_GROWTH_KIB: u64 = 16 * 1024;
+
+/// The resident memory of this process in KiB; `None` where the system does not report it.
 fn resident_kib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// A balancer that is sent requests, each with a routing key of its own and answered at once.
+/// A balancer without a rule checker, whose records would grow. Each request has a routing key of its own and
+/// succeeds.
 struct Service {
     balancer: Balancer,
     now: Time,
@@ -26,7 +29,8 @@
         let now = Time::from_millis(1000);
         let mut service = Service { balancer, now, next_request: 0, actions: Vec::new() };
         service.balancer.start(now, &mut service.actions);
-        service.handle(Event::Endpoints(EndpointUpdate::Complete(fleet(6, 2, 2))));
+        let endpoints = fleet_in(6, Topology { zone_count: 2, cell_count: 2 });
+        service.handle(Event::Endpoints(EndpointUpdate::Complete(endpoints)));
         service
     }
 
@@ -45,13 +49,13 @@
         self.next_request += 1;
         self.now = self.now + Span::from_millis(5);
         self.actions.clear();
-        let mut request = Request::new(id, ClassId(0), Span::from_millis(800));
+        let mut request = Request::new(id, ClassId(0), DEADLINE);
         request.routing_key = Some(RoutingKey(id.0));
         self.handle(Event::Request(request));
         assert!(self.actions.iter().any(is_send), "{id:?} was not sent");
         self.handle(Event::AttemptEnded {
             request: id,
-            attempt: AttemptNumber(0),
+            attempt: FIRST_ATTEMPT,
             outcome: Outcome::Success,
             elapsed: Span::from_millis(20),
             load_report: None,
@@ -68,6 +72,6 @@
 
     service.serve(400_000);
 
-    let growth_kib = resident_kib().expect("told before").saturating_sub(kib_before);
-    assert!(growth_kib < 16 * 1024, "{growth_kib} KiB more after 400,000 further requests");
+    let growth_kib = resident_kib().expect("reported before").saturating_sub(kib_before);
+    assert!(growth_kib < MAX_GROWTH_KIB, "{growth_kib} KiB more after 400,000 further requests");
 }
--- a/crates/balancer-core/tests/outlier_ejection.rs
+++ b/crates/balancer-core/tests/outlier_ejection.rs
@@ -1,34 +1,28 @@
-//! Tests that servers which hang, fail fast or slow down are ejected and come back, and that load on all
-//! servers is not taken for faults of some.
+//! Tests of outlier ejection: servers that hang, fail fast or slow down are ejected and restored, and a load
+//! that slows the whole fleet ejects none.
 
 mod common;
 
 use balancer_core::*;
-use common::*;
-
-fn settings(effect: Effect) -> Settings {
-    Settings { classes: vec![class(effect)], ..Settings::default() }
-}
+use common::{
+    class, fleet, settings_with_effect, Harness, Response, SequentialLoad, SubmittedRequest, FIRST_ATTEMPT,
+    SECOND_ATTEMPT,
+};
 
 fn harness(effect: Effect, seed: u64, server_count: u32) -> Harness {
-    Harness::with_endpoints(settings(effect), seed, fleet(server_count, 1, 1))
+    Harness::with_endpoints(settings_with_effect(effect), seed, fleet(server_count))
 }
 
-/// Requests one after the other; how many attempts each of `server_count` servers got.
-fn serve(
-    harness: &mut Harness,
-    server_count: usize,
-    request_count: u32,
-    respond: impl Fn(ServerId) -> Response,
-) -> Vec<u32> {
-    let load = SequentialLoad { server_count, request_count, pause_ms: 5.0 };
+/// Sends requests one after the other, checks the rules and returns the number of attempts at each server.
+fn serve(harness: &mut Harness, request_count: u32, respond: impl Fn(ServerId) -> Response) -> Vec<u32> {
+    let load = SequentialLoad { request_count, pause_ms: 5.0 };
     let attempts_by_server = harness.serve_sequentially(load, respond);
     harness.assert_no_violations();
     attempts_by_server
 }
 
-fn serve_well(harness: &mut Harness, server_count: usize, request_count: u32, elapsed_ms: f64) -> Vec<u32> {
-    serve(harness, server_count, request_count, |_| Response::success(elapsed_ms))
+fn serve_successfully(harness: &mut Harness, request_count: u32, elapsed_ms: f64) -> Vec<u32> {
+    serve(harness, request_count, |_| Response::success(elapsed_ms))
 }
 
 fn is_cancel(action: &Action) -> bool {
@@ -36,7 +30,7 @@
 }
 
 fn cancel_of_first_attempt(request: RequestId) -> Action {
-    Action::Cancel { request, attempt: AttemptNumber(0) }
+    Action::Cancel { request, attempt: FIRST_ATTEMPT }
 }
 
 #[test]
@@ -44,11 +38,11 @@
     for fault in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::ConnectionReset] {
         let mut harness = harness(Effect::Idempotent, 11, 5);
 
-        let during_fault = serve(&mut harness, 5, 400, |server| match server.0 {
+        let during_fault = serve(&mut harness, 400, |server| match server.0 {
             2 => Response { outcome: fault, elapsed_ms: 0.2 },
             _ => Response::success(30.0),
         });
-        let after_fault = serve_well(&mut harness, 5, 400, 30.0);
+        let after_fault = serve_successfully(&mut harness, 400, 30.0);
 
         assert!(during_fault[2] <= 12, "{fault:?}: {during_fault:?}, of them probes only");
         assert!(during_fault[2] >= 3, "{fault:?}: {during_fault:?}, it is tried again");
@@ -61,8 +55,8 @@
     let mut harness = harness(Effect::Idempotent, 11, 5);
 
     let elapsed_ms = |server: ServerId| if server.0 == 2 { 300.0 } else { 30.0 };
-    let while_slow = serve(&mut harness, 5, 300, |server| Response::success(elapsed_ms(server)));
-    let after_recovery = serve_well(&mut harness, 5, 600, 30.0);
+    let while_slow = serve(&mut harness, 300, |server| Response::success(elapsed_ms(server)));
+    let after_recovery = serve_successfully(&mut harness, 600, 30.0);
 
     assert!(while_slow[2] < 20, "{while_slow:?}");
     assert!(after_recovery[2] > 30, "{after_recovery:?}");
@@ -71,15 +65,15 @@
 #[test]
 fn uniformly_slow_fleet_keeps_all_its_servers() {
     let mut harness = harness(Effect::Idempotent, 11, 5);
-    serve_well(&mut harness, 5, 100, 30.0);
+    serve_successfully(&mut harness, 100, 30.0);
 
-    let attempts = serve_well(&mut harness, 5, 300, 110.0);
+    let attempts = serve_successfully(&mut harness, 300, 110.0);
 
     assert!(attempts.iter().all(|count| *count > 20), "{attempts:?}");
 }
 
-/// The server that more than one of these requests was sent to.
-fn server_with_several(requests: &[SubmittedRequest]) -> Option<ServerId> {
+/// A server that more than one of these requests were sent to.
+fn server_with_several_requests(requests: &[SubmittedRequest]) -> Option<ServerId> {
     let count_at = |server| requests.iter().filter(|request| request.server == Some(server)).count();
     requests.iter().filter_map(|request| request.server).find(|&server| count_at(server) > 1)
 }
@@ -87,10 +81,10 @@
 #[test]
 fn silent_server_is_ejected_and_its_idempotent_requests_are_retried() {
     let mut harness = harness(Effect::Idempotent, 5, 4);
-    serve_well(&mut harness, 4, 40, 20.0);
-    // Two requests are at the silent server and none at the others: only there nothing comes back.
+    serve_successfully(&mut harness, 40, 20.0);
+    // Two requests are pending at the silent server; all other servers answer theirs.
     let requests = harness.send_burst(8);
-    let silent = server_with_several(&requests).expect("more requests than servers");
+    let silent = server_with_several_requests(&requests).expect("more requests than servers");
     let (hanging, answered): (Vec<_>, Vec<_>) =
         requests.into_iter().partition(|request| request.server == Some(silent));
     for request in answered {
@@ -101,20 +95,20 @@
 
     for request in hanging {
         assert!(actions.contains(&cancel_of_first_attempt(request.id)), "{actions:?}");
-        harness.end_attempt(request.id, 0, Outcome::Cancelled, 150.0);
+        harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::Cancelled, 150.0);
         assert!(harness.target_of(request.id).is_some_and(|server| server != silent));
-        harness.end_attempt(request.id, 1, Outcome::Success, 20.0);
+        harness.end_attempt(request.id, SECOND_ATTEMPT, Outcome::Success, 20.0);
     }
-    let attempts = serve_well(&mut harness, 4, 6, 20.0);
+    let attempts = serve_successfully(&mut harness, 6, 20.0);
     assert_eq!(attempts[silent.0 as usize], 0, "not before its first probe");
 }
 
-/// On quiet days costly requests made healthy servers suspect, each a second time in vain.
+/// At low load, costly requests once had healthy servers ejected, and were retried in vain.
 #[test]
 fn costly_request_is_not_overdue_before_its_objective() {
     let mut harness = harness(Effect::Idempotent, 5, 4);
-    serve_well(&mut harness, 4, 40, 20.0);
-    assert!(harness.send_request(0).is_sent());
+    serve_successfully(&mut harness, 40, 20.0);
+    assert!(harness.send_request().is_sent());
 
     let before_objective = harness.advance_ms(195.0);
     let after_objective = harness.advance_ms(60.0);
@@ -124,25 +118,25 @@
     assert!(after_objective.iter().any(is_reaction), "past its objective it counts");
 }
 
-/// Its answer is lost, but its server answers others: it once waited for its deadline and held a place till
-/// then.
+/// The request's answer is lost while its server answers others. It once stayed in flight, counting towards
+/// the concurrency limit, until its deadline.
 #[test]
 fn hanging_idempotent_request_is_cancelled_and_retried() {
     let late_class = RequestClass { late_value: 0.3, ..class(Effect::Idempotent) };
     let settings = Settings { classes: vec![late_class], ..Settings::default() };
-    let mut harness = Harness::with_endpoints(settings, 5, fleet(1, 1, 1));
-    serve_well(&mut harness, 1, 40, 20.0);
-    let hanging = harness.send_request(0).id;
+    let mut harness = Harness::with_endpoints(settings, 5, fleet(1));
+    serve_successfully(&mut harness, 40, 20.0);
+    let hanging = harness.send_request().id;
 
     let cancel = cancel_of_first_attempt(hanging);
     let is_cancelled = (0..20).any(|_| {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         assert!(request.is_sent());
         let actions = harness.advance_ms(20.0);
         harness.succeed(request.id, 20.0);
         actions.contains(&cancel)
     });
-    harness.end_attempt(hanging, 0, Outcome::Cancelled, 300.0);
+    harness.end_attempt(hanging, FIRST_ATTEMPT, Outcome::Cancelled, 300.0);
 
     assert!(is_cancelled, "well before its deadline");
     assert!(harness.target_of(hanging).is_some(), "and sent again");
@@ -152,57 +146,57 @@
 #[test]
 fn at_most_once_request_is_not_cancelled() {
     let mut harness = harness(Effect::AtMostOnce, 5, 4);
-    let request = harness.send_request(0);
+    let request = harness.send_request();
 
     let actions = harness.advance_ms(790.0);
 
     assert!(!actions.iter().any(is_cancel), "{actions:?}");
-    harness.end_attempt(request.id, 0, Outcome::TimedOut, 800.0);
+    harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 800.0);
     harness.assert_no_violations();
 }
 
-/// Answers that are lost on the way, one in seven, once cut a quick server's limit to one request.
+/// One lost answer in seven once lowered the concurrency limit of a fast server to one request.
 #[test]
 fn lost_answer_among_quick_ones_does_not_count_as_load() {
     let mut harness = harness(Effect::AtMostOnce, 5, 1);
-    serve_well(&mut harness, 1, 100, 20.0);
+    serve_successfully(&mut harness, 100, 20.0);
 
     for _ in 0..40 {
-        let lost = harness.send_request(0);
+        let lost = harness.send_request();
         assert!(lost.is_sent(), "there is capacity for it");
         for _ in 0..6 {
             harness.send_and_succeed(20.0).expect("there is capacity beside it");
         }
         harness.advance_ms(680.0);
-        harness.end_attempt(lost.id, 0, Outcome::TimedOut, 800.0);
+        harness.end_attempt(lost.id, FIRST_ATTEMPT, Outcome::TimedOut, 800.0);
     }
 
     harness.assert_no_violations();
 }
 
-/// Where no report tells the loads, a tie once went to the server that had been sent the least since the
-/// start: one that joins late, or comes back, drew all ties until it had caught up with the others.
+/// Without load reports, a tie once went to the server with the fewest requests since the start, so that a
+/// server that joined late or returned won every tie until it had caught up with the others.
 #[test]
 fn late_joining_server_does_not_win_every_tie() {
     let mut harness = harness(Effect::Idempotent, 11, 4);
-    serve_well(&mut harness, 5, 400, 30.0);
+    serve_successfully(&mut harness, 400, 30.0);
 
-    harness.set_endpoints(fleet(5, 1, 1));
-    let attempts = serve_well(&mut harness, 5, 100, 30.0);
+    harness.set_endpoints(fleet(5));
+    let attempts = serve_successfully(&mut harness, 100, 30.0);
 
     assert!((5..50).contains(&attempts[4]), "{attempts:?}: about a fifth are its");
 }
 
-/// Without an idempotent class nothing would ever probe an ejected server, so others must after a while.
+/// Idempotent requests probe an ejected server first; where there are none, requests of other classes must.
 #[test]
 fn ejected_server_is_restored_without_idempotent_classes() {
     let mut harness = harness(Effect::AtMostOnce, 11, 3);
-    serve(&mut harness, 3, 100, |server| match server.0 {
+    serve(&mut harness, 100, |server| match server.0 {
         1 => Response { outcome: Outcome::ServerError, elapsed_ms: 0.2 },
         _ => Response::success(20.0),
     });
 
-    let attempts = serve_well(&mut harness, 3, 400, 20.0);
+    let attempts = serve_successfully(&mut harness, 400, 20.0);
 
     assert!(attempts[1] > 30, "{attempts:?}");
 }
@@ -214,9 +208,9 @@
         0..6 => Response { outcome: Outcome::ConnectFailed, elapsed_ms: 100.0 },
         _ => Response::success(20.0),
     };
-    serve(&mut harness, 8, 60, respond);
+    serve(&mut harness, 60, respond);
 
-    let attempts = serve(&mut harness, 8, 100, respond);
+    let attempts = serve(&mut harness, 100, respond);
 
     assert!(attempts[..6].iter().sum::<u32>() < 40, "{attempts:?}");
     assert!(attempts[6] + attempts[7] >= 95, "{attempts:?}");
@@ -225,9 +219,9 @@
 #[test]
 fn wholly_failing_fleet_is_still_sent_requests() {
     let mut harness = harness(Effect::Idempotent, 11, 4);
-    serve(&mut harness, 4, 40, |_| Response { outcome: Outcome::ServerError, elapsed_ms: 1.0 });
+    serve(&mut harness, 40, |_| Response { outcome: Outcome::ServerError, elapsed_ms: 1.0 });
 
-    let attempts = serve_well(&mut harness, 4, 40, 20.0);
+    let attempts = serve_successfully(&mut harness, 40, 20.0);
 
     assert!(attempts.iter().sum::<u32>() >= 40, "{attempts:?}");
 }
--- /dev/null
+++ b/crates/balancer-core/tests/random_events/generator.rs
@@ -0,0 +1,158 @@
+//! Feeds a balancer random events and simulates the attempts that it sends.
+
+use super::attempts::InFlightAttempts;
+use super::common::{fleet_in, Harness, Topology};
+use balancer_core::{
+    Action, ClassId, Endpoint, EndpointStatus, EndpointUpdate, Event, LoadReport, Outcome, Request,
+    RequestClass, RequestId, RoutingKey, Settings, Span,
+};
+
+/// The time that a timed-out attempt is reported to have taken.
+const TIMEOUT_MS: f64 = 800.0;
+
+/// The statuses that an endpoint changes to, all equally likely.
+const STATUSES: [EndpointStatus; 4] =
+    [EndpointStatus::Serving, EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed];
+
+/// Service times in load reports, two of which are invalid.
+const REPORTED_SERVICE_TIMES: [f64; 3] = [f64::NAN, -4.0, 30.0];
+
+/// A balancer that is fed random events.
+pub struct RandomEvents {
+    pub harness: Harness,
+    /// The actions of each step as text.
+    pub action_log: Vec<String>,
+    rng: fastrand::Rng,
+    classes: Vec<RequestClass>,
+    endpoints: Vec<Endpoint>,
+    attempts: InFlightAttempts,
+}
+
+impl RandomEvents {
+    /// Feeds a new balancer `step_count` random events.
+    pub fn run(settings: Settings, seed: u64, step_count: u32) -> Self {
+        let mut events = RandomEvents::new(settings, seed);
+        for step in 0..step_count {
+            events.step(step);
+        }
+        events
+    }
+
+    fn new(settings: Settings, seed: u64) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let classes = settings.classes.clone();
+        let mut harness = Harness::new(settings, seed ^ 0x5eed);
+        let endpoints = fleet_in(1 + rng.u32(0..9), Topology { zone_count: 3, cell_count: 3 });
+        harness.handle(Event::Endpoints(EndpointUpdate::Cached(endpoints.clone())));
+        RandomEvents {
+            harness,
+            action_log: Vec::new(),
+            rng,
+            classes,
+            endpoints,
+            attempts: InFlightAttempts::default(),
+        }
+    }
+
+    fn step(&mut self, step: u32) {
+        let mut actions = self.handle_random_event(step);
+        actions.extend(self.time_out_attempts());
+        for action in &actions {
+            self.attempts.carry_out(self.harness.now, action);
+        }
+        self.action_log.push(format!("{actions:?}"));
+    }
+
+    /// Handles one random event, or lets time pass.
+    fn handle_random_event(&mut self, step: u32) -> Vec<Action> {
+        match self.rng.u32(0..100) {
+            0..=39 => self.send_request(RequestId(u64::from(step))),
+            40..=79 if !self.attempts.is_empty() => self.end_attempt(),
+            80..=83 if !self.attempts.is_empty() => self.begin_stream(),
+            84..=86 => self.disconnect_client(step),
+            87..=90 => self.change_endpoint(),
+            _ => self.harness.advance_ms(self.rng.f64() * 15.0),
+        }
+    }
+
+    fn send_request(&mut self, id: RequestId) -> Vec<Action> {
+        let rng = &mut self.rng;
+        let class = rng.usize(0..self.classes.len());
+        let time_left = self.classes[class].deadline * (rng.f64() * 1.2).min(1.0);
+        let mut request = Request::new(id, ClassId(class), time_left);
+        request.routing_key = rng.bool().then(|| RoutingKey(rng.u64(0..5)));
+        request.cost_hint = rng.bool().then(|| Span::from_millis_f64(rng.f64() * 80.0));
+        self.harness.handle(Event::Request(request)).to_vec()
+    }
+
+    fn end_attempt(&mut self) -> Vec<Action> {
+        let now = self.harness.now;
+        let ended = self.attempts.remove_random(&mut self.rng);
+        let outcome = match self.rng.u32(0..10) {
+            _ if ended.has_timed_out(now) => Outcome::TimedOut,
+            0 => Outcome::ServerError,
+            1 if !ended.is_streaming => Outcome::Rejected,
+            2 if !ended.is_streaming => Outcome::ConnectFailed,
+            3 => Outcome::ConnectionReset,
+            4 if !ended.is_streaming => Outcome::NotSent,
+            _ => Outcome::Success,
+        };
+        let event = Event::AttemptEnded {
+            request: ended.request,
+            attempt: ended.attempt,
+            outcome,
+            elapsed: now.since(ended.sent_at),
+            load_report: self.draw_load_report(),
+            is_request_finished: outcome == Outcome::Success || ended.is_streaming,
+        };
+        self.harness.handle(event).to_vec()
+    }
+
+    fn draw_load_report(&mut self) -> Option<LoadReport> {
+        if !self.rng.bool() {
+            return None;
+        }
+        let in_flight = self.rng.f64() * 9.0;
+        let service_time = REPORTED_SERVICE_TIMES[self.rng.usize(0..REPORTED_SERVICE_TIMES.len())];
+        Some(LoadReport::new(vec![in_flight, service_time]))
+    }
+
+    fn begin_stream(&mut self) -> Vec<Action> {
+        let streaming = self.attempts.random_mut(&mut self.rng);
+        streaming.is_streaming = true;
+        let first_byte = Event::FirstByte { request: streaming.request, attempt: streaming.attempt };
+        self.harness.handle(first_byte).to_vec()
+    }
+
+    /// Disconnects the client of a request that may not exist or may have ended.
+    fn disconnect_client(&mut self, step: u32) -> Vec<Action> {
+        let request = RequestId(u64::from(self.rng.u32(0..=step)));
+        self.harness.handle(Event::ClientDisconnected { request }).to_vec()
+    }
+
+    fn change_endpoint(&mut self) -> Vec<Action> {
+        let position = self.rng.usize(0..self.endpoints.len());
+        let endpoint = &mut self.endpoints[position];
+        endpoint.status = STATUSES[self.rng.usize(0..STATUSES.len())];
+        if self.rng.bool() && endpoint.is_serving() {
+            endpoint.started_at = Some(self.harness.now);
+        }
+        let update = match self.rng.u32(0..6) {
+            0 => EndpointUpdate::Failed,
+            1 => EndpointUpdate::Complete(self.endpoints.clone()),
+            _ => EndpointUpdate::Changes(vec![endpoint.clone()]),
+        };
+        self.harness.handle(Event::Endpoints(update)).to_vec()
+    }
+
+    /// Ends the attempts that are past their timeout, as the caller's network would.
+    fn time_out_attempts(&mut self) -> Vec<Action> {
+        let mut actions = Vec::new();
+        while let Some(ended) = self.attempts.remove_timed_out(self.harness.now) {
+            let outcome = Outcome::TimedOut;
+            let returned = self.harness.end_attempt(ended.request, ended.attempt, outcome, TIMEOUT_MS);
+            actions.extend_from_slice(returned);
+        }
+        actions
+    }
+}
--- /dev/null
+++ b/crates/balancer-core/tests/random_events/main.rs
@@ -0,0 +1,120 @@
+//! Tests that the rules hold for random sequences of events, and that equal events give equal actions.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod attempts;
+mod generator;
+
+use balancer_core::*;
+use common::*;
+use generator::RandomEvents;
+
+/// Settings that vary with the seed.
+fn settings(seed: u64) -> Settings {
+    let load_report_source = if seed % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Responses };
+    let discovery_mode = if seed % 2 == 1 { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
+    Settings {
+        balancer_count: 1 + (seed % 7) as u32,
+        classes: vec![
+            class(Effect::Idempotent),
+            class(Effect::AtMostOnce),
+            class(deduplicated(DedupScope::Fleet, 300.0)),
+            class(deduplicated(DedupScope::Zone, 200.0)),
+            class(deduplicated(DedupScope::Cell, 600.0)),
+            RequestClass { late_value: 0.3, is_streaming: true, ..class(Effect::Idempotent) },
+        ],
+        allows_hedging: seed % 2 == 0,
+        allows_cancel: seed % 3 != 0,
+        sends_retry_after: seed % 5 == 0,
+        allows_health_checks: seed % 4 == 0,
+        load_report_source,
+        load_report_fields: vec![LoadReportField::InFlight, LoadReportField::ServiceTime],
+        discovery_mode,
+        initial_capacity: 0.2,
+        warm_up_time: Span::from_millis(4000),
+        ..Settings::default()
+    }
+}
+
+fn fleet_in_three_zones(server_count: u32) -> Vec<Endpoint> {
+    fleet_in(server_count, Topology { zone_count: 3, cell_count: 3 })
+}
+
+#[test]
+fn rules_hold_for_random_events() {
+    for seed in 0..120 {
+        let events = RandomEvents::run(settings(seed), seed, 1800);
+
+        let violations = &events.harness.rule_checker.violations;
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
+        assert_eq!(events.harness.lost_request_count(), 0, "seed {seed}");
+        let send_count = events.action_log.iter().filter(|actions| actions.contains("Send")).count();
+        assert!(send_count > 50, "seed {seed} sent only {send_count} times and so shows little");
+    }
+}
+
+#[test]
+fn equal_events_give_equal_actions() {
+    let action_log = |seed| RandomEvents::run(settings(seed), seed, 800).action_log;
+    for seed in 0..10 {
+        assert_eq!(action_log(seed), action_log(seed));
+    }
+}
+
+#[test]
+fn different_seeds_give_different_choices() {
+    let choices = |seed| {
+        let mut harness = Harness::with_endpoints(settings(2), seed, fleet_in_three_zones(9));
+        (0..20).map(|_| harness.send_request().server).collect::<Vec<_>>()
+    };
+
+    assert_ne!(choices(1), choices(2));
+}
+
+/// A balancer that is fed the same sequence of events each time.
+struct RegularEvents {
+    harness: Harness,
+    step: u32,
+}
+
+impl RegularEvents {
+    fn new(seed: u64) -> Self {
+        let harness = Harness::with_endpoints(settings(seed), seed, fleet_in_three_zones(7));
+        RegularEvents { harness, step: 0 }
+    }
+
+    /// Sends the next request; all but every fourth are answered.
+    fn step(&mut self) -> Vec<Action> {
+        let class = ClassId((self.step % 3) as usize);
+        let request = self.harness.send_request_of(class);
+        let mut actions = self.harness.actions.clone();
+        actions.extend(self.harness.advance_ms(3.0));
+        let is_answered = self.step % 4 != 0;
+        if request.is_sent() && is_answered {
+            actions.extend_from_slice(self.harness.succeed(request.id, 3.0));
+        }
+        self.step += 1;
+        actions
+    }
+}
+
+/// Two balancers that are fed events in turn act as each does alone, as they share no state.
+#[test]
+fn interleaved_balancers_act_independently() {
+    let act_alone = |seed| {
+        let mut events = RegularEvents::new(seed);
+        (0..300).map(|_| events.step()).collect::<Vec<_>>()
+    };
+    let mut first = RegularEvents::new(3);
+    let mut second = RegularEvents::new(8);
+
+    let mut first_actions = Vec::new();
+    let mut second_actions = Vec::new();
+    for _ in 0..300 {
+        first_actions.push(first.step());
+        second_actions.push(second.step());
+    }
+
+    assert_eq!((first_actions, second_actions), (act_alone(3), act_alone(8)));
+}
--- a/crates/balancer-core/tests/retry_permissions.rs
+++ b/crates/balancer-core/tests/retry_permissions.rs
@@ -1,5 +1,5 @@
-//! Tests that an effect does not happen twice: which retries may follow an attempt, and that a request that
-//! may have run is not reported as rejected.
+//! Tests that no effect happens twice: which retries may follow a failed attempt, and that a request that may
+//! have run is not rejected.
 
 mod common;
 
@@ -19,7 +19,7 @@
 const ZONE_COUNT: u32 = 3;
 const CELL_COUNT: u32 = 4;
 
-/// A first attempt that fails.
+/// A first attempt that fails with `outcome` after `elapsed_ms`.
 #[derive(Debug)]
 struct FailedAttemptCase {
     effect: Effect,
@@ -28,9 +28,10 @@
     allows_hedging: bool,
 }
 
-/// What followed the failed attempt.
-struct Sequel {
+/// What the balancer did after the failed attempt.
+struct Reaction {
     first_server: u32,
+    /// The server of the retry, if there was one.
     retried_at: Option<u32>,
     is_failed: bool,
     is_rejected: bool,
@@ -58,83 +59,83 @@
         cases
     }
 
-    fn run(&self) -> Sequel {
-        let settings = Settings {
-            classes: vec![class(self.effect)],
-            allows_hedging: self.allows_hedging,
-            ..Settings::default()
-        };
-        let mut harness = Harness::with_endpoints(settings, 3, fleet(12, ZONE_COUNT, CELL_COUNT));
-        let request = harness.send_request(0);
+    fn run(&self) -> Reaction {
+        let settings = Settings { allows_hedging: self.allows_hedging, ..settings_with_effect(self.effect) };
+        let topology = Topology { zone_count: ZONE_COUNT, cell_count: CELL_COUNT };
+        let mut harness = Harness::with_endpoints(settings, 3, fleet_in(12, topology));
+        let request = harness.send_request();
         harness.advance_ms(self.elapsed_ms);
-        harness.end_attempt(request.id, 0, self.outcome, self.elapsed_ms);
-        let sequel = Sequel {
+        harness.end_attempt(request.id, FIRST_ATTEMPT, self.outcome, self.elapsed_ms);
+        let reaction = Reaction {
             first_server: request.server.expect("an idle fleet takes a request").0,
             retried_at: harness.target_of(request.id).map(|server| server.0),
             is_failed: is_failed(&harness.actions, request.id),
             is_rejected: is_rejected(&harness.actions, request.id),
         };
         harness.assert_no_violations();
-        sequel
+        reaction
     }
 
-    fn assert_allows(&self, sequel: &Sequel) {
+    fn assert_permits(&self, reaction: &Reaction) {
         let did_not_run = self.outcome.proves_not_run();
-        let is_retried = sequel.retried_at.is_some();
+        let is_retried = reaction.retried_at.is_some();
         match self.effect {
             Effect::Idempotent => assert!(is_retried, "{self:?}"),
             Effect::AtMostOnce => {
                 assert_eq!(is_retried, did_not_run, "{self:?}");
-                assert_eq!(sequel.is_failed, !did_not_run, "{self:?}");
+                assert_eq!(reaction.is_failed, !did_not_run, "{self:?}");
             }
             Effect::Deduplicated { scope, .. } => {
                 let is_in_window = self.elapsed_ms < DEDUPLICATION_WINDOW_MS;
                 assert_eq!(is_retried, did_not_run || is_in_window, "{self:?}");
                 if !did_not_run {
-                    self.assert_stays_in_scope(scope, is_in_window, sequel);
+                    self.assert_stays_in_scope(scope, is_in_window, reaction);
                 }
             }
         }
     }
 
-    fn assert_stays_in_scope(&self, scope: DedupScope, is_in_window: bool, sequel: &Sequel) {
-        let first = sequel.first_server;
-        let next = sequel.retried_at.unwrap_or(first);
+    fn assert_stays_in_scope(&self, scope: DedupScope, is_in_window: bool, reaction: &Reaction) {
+        let first = reaction.first_server;
+        let next = reaction.retried_at.unwrap_or(first);
         match scope {
-            DedupScope::Fleet => assert_eq!(sequel.is_rejected, !is_in_window, "{self:?}"),
+            DedupScope::Fleet => assert_eq!(reaction.is_rejected, !is_in_window, "{self:?}"),
             DedupScope::Zone => assert_eq!(next % ZONE_COUNT, first % ZONE_COUNT, "{self:?}"),
             DedupScope::Cell => assert_eq!(next % CELL_COUNT, first % CELL_COUNT, "{self:?}"),
         }
         if !is_in_window && scope != DedupScope::Fleet {
-            assert!(sequel.is_failed, "{self:?}");
+            assert!(reaction.is_failed, "{self:?}");
         }
     }
 }
 
-/// The whole table: effect x outcome of the first attempt x scope x inside or past the window.
+/// All combinations of effect, deduplication scope, outcome of the first attempt, and time inside or past the
+/// window.
 #[test]
 fn retry_permission_follows_effect_outcome_scope_and_window() {
     for case in FailedAttemptCase::all() {
-        let sequel = case.run();
-        case.assert_allows(&sequel);
+        let reaction = case.run();
+        case.assert_permits(&reaction);
     }
 }
 
-/// The window and the scope are those of the first attempt that may have run, not of the first or the last.
+/// Nine servers in three zones and cells.
+fn three_zones() -> Vec<Endpoint> {
+    fleet_in(9, Topology { zone_count: 3, cell_count: 3 })
+}
+
+/// The scope is not that of the first attempt, which never ran, nor that of the last one.
 #[test]
 fn deduplication_scope_is_that_of_the_first_attempt_that_may_have_run() {
-    let settings = Settings {
-        classes: vec![class(deduplicated(DedupScope::Zone, 400.0))],
-        max_attempts: 6,
-        ..Settings::default()
-    };
+    let effect = deduplicated(DedupScope::Zone, 400.0);
+    let settings = Settings { max_attempts: 6, ..settings_with_effect(effect) };
     for seed in 0..40 {
-        let mut harness = Harness::with_endpoints(settings.clone(), seed, fleet(9, 3, 3));
-        let request = harness.send_request(0);
+        let mut harness = Harness::with_endpoints(settings.clone(), seed, three_zones());
+        let request = harness.send_request();
 
-        harness.end_attempt(request.id, 0, Outcome::ConnectFailed, 1.0);
+        harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ConnectFailed, 1.0);
         let second = harness.target_of(request.id).expect("never ran: anywhere").0;
-        harness.end_attempt(request.id, 1, Outcome::ConnectionReset, 1.0);
+        harness.end_attempt(request.id, SECOND_ATTEMPT, Outcome::ConnectionReset, 1.0);
         let third = harness.target_of(request.id).expect("inside the window: same zone").0;
 
         assert_eq!(third % 3, second % 3);
@@ -142,18 +143,18 @@
     }
 }
 
-/// Proof that a later attempt did not run says nothing of an earlier one that may have.
+/// Proof that a later attempt did not run says nothing about an earlier one.
 #[test]
 fn later_proof_of_not_running_does_not_clear_an_earlier_attempt() {
-    let classes = vec![class(deduplicated(DedupScope::Cell, 5000.0))];
-    let settings = Settings { classes, ..Settings::default() };
-    let mut harness = Harness::with_endpoints(settings, 9, fleet(8, 2, 4));
-    let request = harness.send_request(0);
+    let settings = settings_with_effect(deduplicated(DedupScope::Cell, 5000.0));
+    let topology = Topology { zone_count: 2, cell_count: 4 };
+    let mut harness = Harness::with_endpoints(settings, 9, fleet_in(8, topology));
+    let request = harness.send_request();
     let first_cell = request.server.expect("it is sent").0 % 4;
 
-    harness.end_attempt(request.id, 0, Outcome::ServerError, 1.0);
+    harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ServerError, 1.0);
     assert!(harness.target_of(request.id).is_some());
-    harness.end_attempt(request.id, 1, Outcome::Rejected, 1.0);
+    harness.end_attempt(request.id, SECOND_ATTEMPT, Outcome::Rejected, 1.0);
 
     let third_cell = harness.target_of(request.id).map(|server| server.0 % 4);
     assert_eq!(third_cell.unwrap_or(first_cell), first_cell);
@@ -161,46 +162,45 @@
     harness.assert_no_violations();
 }
 
-/// When a send must be written.
+/// Until when an attempt may be written.
 #[derive(Debug, PartialEq)]
-struct SendLimit {
+struct WriteLimit {
     write_by: Option<Time>,
 }
 
-/// The limit of the first of these sends.
-fn first_send(actions: &[Action]) -> Option<SendLimit> {
+/// The write limit of the first of these attempts.
+fn write_limit_of_first_send(actions: &[Action]) -> Option<WriteLimit> {
     actions.iter().find_map(|action| match action {
-        Action::Send { write_by, .. } => Some(SendLimit { write_by: *write_by }),
+        Action::Send { write_by, .. } => Some(WriteLimit { write_by: *write_by }),
         _ => None,
     })
 }
 
-/// An attempt may be written up to a connect's time after it is decided. A retry that would then be past its
-/// window is not begun, and one that is begun carries the window's end, counted from the first attempt that
-/// may have run.
+/// An attempt may be written as late as the connect timeout after its decision. A retry that could then be past
+/// the window is not started; one that is started carries the end of the window, which is counted from the
+/// first attempt that may have run.
 #[test]
 fn retry_carries_the_end_of_its_deduplication_window() {
     let settings = Settings {
-        classes: vec![class(deduplicated(DedupScope::Fleet, 400.0))],
         connect_timeout: Span::from_millis(250),
         max_attempts: 6,
-        ..Settings::default()
+        ..settings_with_effect(deduplicated(DedupScope::Fleet, 400.0))
     };
     for (elapsed_ms, is_retried) in [(140.0, true), (160.0, false)] {
-        let mut harness = Harness::with_endpoints(settings.clone(), 3, fleet(9, 3, 3));
-        let request = harness.send_request(0);
+        let mut harness = Harness::with_endpoints(settings.clone(), 3, three_zones());
+        let request = harness.send_request();
         harness.advance_ms(20.0);
-        harness.end_attempt(request.id, 0, Outcome::ConnectFailed, 20.0);
+        harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ConnectFailed, 20.0);
         let second_sent_at = harness.now;
-        let unlimited = Some(SendLimit { write_by: None });
-        assert_eq!(first_send(&harness.actions), unlimited, "the first attempt never ran");
+        let unlimited = Some(WriteLimit { write_by: None });
+        assert_eq!(write_limit_of_first_send(&harness.actions), unlimited, "the first attempt never ran");
 
         harness.advance_ms(elapsed_ms);
-        harness.end_attempt(request.id, 1, Outcome::ConnectionReset, elapsed_ms);
+        harness.end_attempt(request.id, SECOND_ATTEMPT, Outcome::ConnectionReset, elapsed_ms);
 
         let window_end = second_sent_at + Span::from_millis(400);
-        let expected = is_retried.then_some(SendLimit { write_by: Some(window_end) });
-        assert_eq!(first_send(&harness.actions), expected, "after {elapsed_ms} ms");
+        let expected = is_retried.then_some(WriteLimit { write_by: Some(window_end) });
+        assert_eq!(write_limit_of_first_send(&harness.actions), expected, "after {elapsed_ms} ms");
         harness.assert_no_violations();
     }
 }
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -1,10 +1,11 @@
-//! Tests that impossible settings are errors and not panics, and that a class is all that settings need.
+//! Tests that impossible settings are errors and not panics, and that one class is all that settings need.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
+/// The error of a balancer with default settings and this change.
 fn error_after(change: fn(&mut Settings)) -> Option<SettingsError> {
     let mut settings = Settings::default();
     change(&mut settings);
@@ -35,8 +36,8 @@
     assert_eq!(error_after(|_| ()), None);
 }
 
-/// No reports, keys, tenants, health checks, cancels or advice, and goal weights of zero: requests are served
-/// all the same.
+/// Without load reports, routing keys, tenants, health checks, cancels or retry advice, and with goal weights of
+/// zero, requests are served.
 #[test]
 fn settings_with_only_a_class_suffice() {
     let settings = Settings {
@@ -45,14 +46,14 @@
         warm_up_time: Span::ZERO,
         ..idempotent_settings()
     };
-    let mut harness = Harness::with_endpoints(settings, 1, fleet(3, 1, 1));
+    let mut harness = Harness::with_endpoints(settings, 1, fleet(3));
 
     for _ in 0..100 {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         assert!(request.is_sent());
         harness.advance_ms(10.0);
         let report = Some(LoadReport::new(vec![f64::NAN, -1.0, 1e300]));
-        harness.end_attempt_with_report(request.id, 0, Response::success(10.0), report);
+        harness.end_attempt_with_report(request.id, FIRST_ATTEMPT, Response::success(10.0), report);
     }
 
     harness.assert_no_violations();
@@ -60,7 +61,7 @@
 
 #[test]
 fn request_of_unknown_class_is_rejected() {
-    let mut harness = Harness::with_endpoints(Settings::default(), 1, fleet(3, 1, 1));
+    let mut harness = Harness::with_endpoints(Settings::default(), 1, fleet(3));
     let request = Request::new(RequestId(5), ClassId(9), Span::from_millis(100));
 
     let mut actions = Vec::new();
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Tests of slow start: a server that has just started is sent no more than its share.
+//! Tests of slow start: a server that has just started is sent at most its share of the requests.
 
 mod common;
 
@@ -10,7 +10,7 @@
 fn settings() -> Settings {
     Settings {
         initial_capacity: 0.2,
-        warm_up_time: Span::from_millis(10_000),
+        warm_up_time: Span::from_secs(10),
         overload_factor: 2.5,
         overload_window: Span::from_millis(1500),
         balancer_count: 3,
@@ -18,13 +18,13 @@
     }
 }
 
-/// A fleet whose servers have all just started.
+/// A fleet all of whose servers started at the same time.
 fn warming_up_fleet(server_count: u32, started_at: Time) -> Vec<Endpoint> {
     let warming_up = |endpoint| Endpoint { started_at: Some(started_at), ..endpoint };
-    fleet(server_count, 1, 1).into_iter().map(warming_up).collect()
+    fleet(server_count).into_iter().map(warming_up).collect()
 }
 
-/// Traffic at a steady rate.
+/// Requests at a constant rate.
 struct SteadyLoad {
     requests_per_s: f64,
     duration_ms: f64,
@@ -44,13 +44,13 @@
 }
 
 impl SteadyLoad {
-    /// Sends the requests, each answered after `RESPONSE_MS`.
+    /// Sends the requests, each of which succeeds after `RESPONSE_MS`.
     fn run(&self, harness: &mut Harness) -> SendCounts {
         let mut counts = SendCounts::default();
         let mut in_flight: Vec<InFlightRequest> = Vec::new();
         let end = harness.now + Span::from_millis_f64(self.duration_ms);
         while harness.now < end {
-            let request = harness.send_request(0);
+            let request = harness.send_request();
             if let Some(server) = request.server {
                 counts.total += 1;
                 counts.to_counted_server += u32::from(server == self.counted_server);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Load of 200 requests a second on the six servers, of which server 5 is counted.
+/// 200 requests per second, of which those to server 5 are counted.
 fn load_on_six_servers(duration_ms: f64) -> SteadyLoad {
     SteadyLoad { requests_per_s: 200.0, duration_ms, counted_server: ServerId(5) }
 }
@@ -83,7 +83,7 @@
 #[test]
 fn warming_up_server_gets_its_share_of_a_warm_servers_load() {
     let mut harness = Harness::new(settings(), 4);
-    let mut endpoints = fleet(6, 1, 1);
+    let mut endpoints = fleet(6);
     endpoints[5].started_at = Some(harness.now);
     harness.set_endpoints(endpoints);
 
@@ -103,7 +103,7 @@
 #[test]
 fn restart_during_slow_start_begins_it_again() {
     let mut harness = Harness::new(settings(), 4);
-    let mut endpoints = fleet(6, 1, 1);
+    let mut endpoints = fleet(6);
     endpoints[5].started_at = Some(harness.now);
     harness.set_endpoints(endpoints.clone());
     load_on_six_servers(8000.0).run(&mut harness);
@@ -131,7 +131,7 @@
     }
 }
 
-/// With nothing answered, a fleet that is warming up must not be flooded by the first seconds' arrivals.
+/// Until it has answered requests, a fleet that is warming up must not be sent all that arrive.
 #[test]
 fn fleet_that_is_all_warming_up_is_paced_by_its_answers() {
     let mut harness = Harness::new(settings(), 4);
@@ -142,17 +142,18 @@
     assert!(sent_count <= 8, "{sent_count} sent at once to four servers at a fifth of their capacity");
 }
 
-/// The clock may start near zero; that is no restart.
+/// On a clock that starts near the epoch, servers have not started lately.
 #[test]
 fn clock_near_zero_puts_no_server_in_slow_start() {
     let mut balancer = Balancer::new(settings(), 1).expect("usable settings");
     let mut actions = Vec::new();
-    balancer.start(Time(0), &mut actions);
-    balancer.handle(Time(1), Event::Endpoints(EndpointUpdate::Complete(fleet(2, 1, 1))), &mut actions);
+    balancer.start(Time::EPOCH, &mut actions);
+    let endpoints = Event::Endpoints(EndpointUpdate::Complete(fleet(2)));
+    balancer.handle(Time::from_micros(1), endpoints, &mut actions);
 
     for number in 0..4 {
-        let request = Request::new(RequestId(number), ClassId(0), Span::from_millis(800));
-        balancer.handle(Time(2), Event::Request(request), &mut actions);
+        let request = Request::new(RequestId(number), ClassId(0), DEADLINE);
+        balancer.handle(Time::from_micros(2), Event::Request(request), &mut actions);
     }
 
     assert_eq!(actions.iter().filter(|action| is_send(action)).count(), 4);
--- a/crates/balancer-core/tests/sparse_view.rs
+++ b/crates/balancer-core/tests/sparse_view.rs
@@ -1,5 +1,5 @@
-//! Tests of routing in a sparse view, where balancers outnumber servers and own counts are nearly all zero:
-//! what the choice of a server goes by, and which connections are kept.
+//! Tests of routing in a sparse view, in which balancers outnumber servers and a balancer has hardly ever a
+//! request in flight at a server: how a server is chosen, and which connections are kept.
 
 mod common;
 
@@ -7,15 +7,15 @@
 use common::*;
 use std::collections::BTreeSet;
 
-/// Servers of half the size were once sent as much as the others, and were overloaded first.
+/// Smaller servers were once sent as much as the others and were overloaded first.
 #[test]
 fn load_follows_endpoint_weight() {
     let settings = Settings { endpoint_weights: EndpointWeights::Size, ..sparse_settings() };
-    let mut endpoints = fleet(20, 1, 1);
+    let mut endpoints = fleet(20);
     endpoints[..10].iter_mut().for_each(|endpoint| endpoint.weight = 3.0);
     let mut harness = Harness::with_endpoints(settings, 1, endpoints);
 
-    let attempts = serve_well(&mut harness, 20, 3000, 20.0);
+    let attempts = serve_successfully(&mut harness, 3000, 20.0);
 
     let large: u32 = attempts[..10].iter().sum();
     let small: u32 = attempts[10..].iter().sum();
@@ -23,11 +23,11 @@
     assert!((2.3..3.7).contains(&ratio), "large machines were sent {ratio:.2} times as much");
 }
 
-/// Machines of one listed size and different speed: the kind's answers tell them apart before single servers
-/// can.
+/// Machines of equal weight can differ in speed. The latency of all servers of a machine kind shows it before
+/// that of a single server.
 #[test]
 fn load_follows_the_latency_of_a_machine_kind() {
-    let mut endpoints = fleet(100, 1, 1);
+    let mut endpoints = fleet(100);
     for endpoint in &mut endpoints {
         endpoint.machine_kind = MachineKindId(endpoint.server.0 % 2);
     }
@@ -35,7 +35,7 @@
 
     let mut requests_by_kind = [0, 0];
     for _ in 0..600 {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         let kind = (request.server.expect("sent").0 % 2) as usize;
         requests_by_kind[kind] += 1;
         let elapsed_ms = [30.0, 90.0][kind];
@@ -48,20 +48,22 @@
     assert!(slow > 5, "the slow kind is not shut out: {requests_by_kind:?}");
 }
 
-/// Connections that were kept while requests were sent.
+/// How connections were used while requests were sent.
 #[derive(Default)]
 struct ConnectionUse {
+    /// The number of requests sent over a kept connection.
     reused_count: u32,
+    /// The largest number of connections that were kept at the same time.
     max_kept: usize,
     used_servers: BTreeSet<ServerId>,
 }
 
-/// Sends one request after another and follows the connections that it keeps.
-fn follow_connections(harness: &mut Harness, request_count: u32) -> ConnectionUse {
+/// Sends requests one after the other and records which connections are kept.
+fn record_connections(harness: &mut Harness, request_count: u32) -> ConnectionUse {
     let mut connections = ConnectionUse::default();
     let mut kept = BTreeSet::new();
     for _ in 0..request_count {
-        let request = harness.send_request(0);
+        let request = harness.send_request();
         let server = request.server.expect("sent");
         connections.reused_count += u32::from(!kept.insert(server));
         connections.used_servers.insert(server);
@@ -79,25 +81,25 @@
     connections
 }
 
-/// Kept connections grew to balancers times servers, over the servers' limits.
+/// Without the limit, each balancer came to keep a connection to each server, which exceeded the servers' limits.
 #[test]
 fn only_remembered_servers_keep_their_connections() {
-    let mut harness = Harness::with_endpoints(sparse_settings(), 3, fleet(20, 1, 1));
+    let mut harness = Harness::with_endpoints(sparse_settings(), 3, fleet(20));
 
-    let connections = follow_connections(&mut harness, 200);
+    let connections = record_connections(&mut harness, 200);
 
     let max_kept = connections.max_kept;
     assert!(max_kept <= 6, "what is remembered no longer keeps none: {max_kept} kept");
 }
 
-/// Nearly every request opened a connection, and the handshakes of all balancers overloaded the servers.
+/// Nearly every request once opened a connection, and the handshakes of all balancers overloaded the servers.
 #[test]
 fn costly_handshakes_make_most_requests_reuse_connections() {
     let costs = Costs { handshake: 0.08, ..Settings::default().costs };
     let settings = Settings { costs, ..sparse_settings() };
-    let mut harness = Harness::with_endpoints(settings, 7, fleet(100, 1, 1));
+    let mut harness = Harness::with_endpoints(settings, 7, fleet(100));
 
-    let connections = follow_connections(&mut harness, 500);
+    let connections = record_connections(&mut harness, 500);
 
     let reused_count = connections.reused_count;
     assert!((300..450).contains(&reused_count), "{reused_count} of 500 met a kept connection");
@@ -105,20 +107,20 @@
     assert!(used_count > 50, "the draws still range over the fleet: {used_count} of 100 servers used");
 }
 
-/// A server that a neighbour slows holds no more of the balancer's own requests than others do, so it stayed
-/// remembered and was sent more than its share. Where all are slow it stays, or every request would open a
-/// connection.
+/// A server slowed by a noisy neighbour has no more requests of the balancer in flight than others, so it once
+/// stayed remembered and was sent more than its share. If all servers are slow it stays remembered, or every
+/// request would open a connection.
 #[test]
 fn relatively_slow_server_is_not_remembered() {
     const SLOW_SERVER: ServerId = ServerId(3);
     const SLOW_MS: f64 = 120.0;
-    for (others_ms, is_kept) in [(20.0, false), (120.0, true)] {
-        let mut harness = Harness::with_endpoints(sparse_settings(), 18, fleet(20, 1, 1));
-        serve_well(&mut harness, 20, 200, others_ms);
+    for (others_ms, is_kept) in [(20.0, false), (SLOW_MS, true)] {
+        let mut harness = Harness::with_endpoints(sparse_settings(), 18, fleet(20));
+        serve_successfully(&mut harness, 200, others_ms);
         let mut answers_of_slow_server = 0;
         while answers_of_slow_server < 5 {
-            let request = harness.send_request(0);
-            // Where all are slow most are rejected.
+            let request = harness.send_request();
+            // If all servers are slow, most requests are rejected.
             let Some(server) = request.server else { continue };
             let elapsed_ms = if server == SLOW_SERVER { SLOW_MS } else { others_ms };
             let mut actions = harness.advance_ms(elapsed_ms);
--- a/crates/balancer-core/tests/suspicion.rs
+++ b/crates/balancer-core/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! Tests of suspicion in a sparse view: gossip about servers, and zones whose link is cut.
+//! Tests of suspicion in a sparse view: gossip about suspected servers, and zones that can't be reached.
 
 mod common;
 
@@ -17,27 +17,27 @@
     actions.iter().filter_map(payload_of).collect()
 }
 
-/// How many of the first requests of many fresh balancers go to a server, sent `wait_ms` after gossip about
-/// it. A success of its own clears the suspicion, so each balancer shows its first few choices only.
+/// The number of requests to a server among the first three of each of 60 new balancers, sent `wait_ms` after
+/// gossip about it. Only the first few choices of a balancer show its suspicion, which a success clears.
 fn first_choices_after_gossip(server: ServerId, payload: &[u8], wait_ms: f64) -> u32 {
     let choices_of_seed = |seed| {
-        let mut harness = Harness::with_endpoints(gossiping_settings(), seed, fleet(10, 1, 1));
+        let mut harness = Harness::with_endpoints(gossiping_settings(), seed, fleet(10));
         harness.handle(Event::Gossip { from: PeerId(1), payload: payload.to_vec() });
         harness.advance_ms(wait_ms);
-        serve_well(&mut harness, 10, 3, 20.0)[server.0 as usize]
+        serve_successfully(&mut harness, 3, 20.0)[server.0 as usize]
     };
     (0..60).map(choices_of_seed).sum()
 }
 
-/// Each of many balancers lost a request to each silent server; now a few bytes tell the others.
+/// Without gossip, each balancer would lose a request to a silent server before it avoided the server.
 #[test]
-fn gossip_is_sent_and_heeded_and_expires() {
-    let mut harness = Harness::with_endpoints(gossiping_settings(), 6, fleet(10, 1, 1));
-    let request = harness.send_request(0);
+fn gossip_is_sent_and_acted_on_until_it_expires() {
+    let mut harness = Harness::with_endpoints(gossiping_settings(), 6, fleet(10));
+    let request = harness.send_request();
     let silent = request.server.expect("sent");
     harness.advance_ms(790.0);
 
-    let payloads = gossip_payloads(harness.end_attempt(request.id, 0, Outcome::TimedOut, 790.0));
+    let payloads = gossip_payloads(harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 790.0));
     assert!(!payloads.is_empty() && payloads.len() <= 128, "{} peers notified", payloads.len());
 
     let soon = first_choices_after_gossip(silent, &payloads[0], 0.0);
@@ -48,23 +48,28 @@
 
 #[test]
 fn invalid_gossip_changes_nothing() {
-    let mut without_gossip = Harness::with_endpoints(gossiping_settings(), 8, fleet(10, 1, 1));
-    let mut with_gossip = Harness::with_endpoints(gossiping_settings(), 8, fleet(10, 1, 1));
+    let mut without_gossip = Harness::with_endpoints(gossiping_settings(), 8, fleet(10));
+    let mut with_gossip = Harness::with_endpoints(gossiping_settings(), 8, fleet(10));
 
     for payload in [vec![], vec![1], vec![0; 300], 77_u32.to_be_bytes().to_vec()] {
         with_gossip.handle(Event::Gossip { from: PeerId(9), payload });
     }
 
-    assert_eq!(serve_well(&mut without_gossip, 10, 50, 20.0), serve_well(&mut with_gossip, 10, 50, 20.0));
+    assert_eq!(
+        serve_successfully(&mut without_gossip, 50, 20.0),
+        serve_successfully(&mut with_gossip, 50, 20.0)
+    );
 }
 
-/// Behind a cut link every server fails to connect, one after another; two failures tell of the zone.
+/// If the link to a zone is cut, connecting to each of its servers fails; two failures are enough to avoid the
+/// whole zone.
 #[test]
 fn cut_zone_is_avoided_after_two_failed_connects() {
     let settings = Settings { max_attempts: 1, ..sparse_settings() };
-    let mut harness = Harness::with_endpoints(settings, 9, fleet(60, 2, 1));
+    let two_zones = Topology { zone_count: 2, cell_count: 1 };
+    let mut harness = Harness::with_endpoints(settings, 9, fleet_in(60, two_zones));
 
-    let attempts = serve_with_outcomes(&mut harness, 60, 60, 20.0, |server| match server.0 % 2 {
+    let attempts = serve_with_outcomes(&mut harness, 60, 20.0, |server| match server.0 % 2 {
         1 => Outcome::ConnectFailed,
         _ => Outcome::Success,
     });
