--- a/crates/balancer-core/tests/recorded_actions/action_recorder.rs
+++ b/crates/balancer-core/tests/recorded_actions/action_recorder.rs
@@ -1,16 +1,16 @@
-//! The digest of a sequence of actions.
+//! Records a sequence of actions as a digest.
 
-use balancer_core::{Action, Notice, Time};
+use balancer_core::{Action, Notice, Span, Time};
 use fnv::FnvHasher;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Stands for a value that is absent.
+/// Recorded for a value that is absent.
 const NONE: u64 = u64::MAX;
-/// What is recorded of an action without contents.
+/// Recorded for an action without contents.
 const NO_CONTENTS: u64 = 1;
 
-/// A kind of action; its number goes into the digests. Number 9 belonged to a kind that is no more.
+/// A kind of action. Its number is part of the digests; number 9 belonged to a kind that no longer exists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ActionKind {
     Send = 0,
@@ -38,9 +38,24 @@
         ActionKind::WatchEndpoints,
         ActionKind::Notify,
     ];
+
+    pub fn of(action: &Action) -> Self {
+        match action {
+            Action::Send { .. } => ActionKind::Send,
+            Action::Cancel { .. } => ActionKind::Cancel,
+            Action::Reject { .. } => ActionKind::Reject,
+            Action::Fail { .. } => ActionKind::Fail,
+            Action::SetTimer { .. } => ActionKind::SetTimer,
+            Action::CheckHealth { .. } => ActionKind::CheckHealth,
+            Action::CloseIdle { .. } => ActionKind::CloseIdle,
+            Action::Gossip { .. } => ActionKind::Gossip,
+            Action::WatchEndpoints => ActionKind::WatchEndpoints,
+            Action::Notify(_) => ActionKind::Notify,
+        }
+    }
 }
 
-/// Takes the digest of actions and counts them by kind.
+/// Computes the digest of actions and counts them by kind.
 #[derive(Default)]
 pub struct ActionRecorder {
     hasher: FnvHasher,
@@ -50,11 +65,11 @@
 impl ActionRecorder {
     /// Adds an action to the digest.
     pub fn record(&mut self, now: Time, action: &Action) {
-        let (kind, contents) = encode(action);
+        let kind = ActionKind::of(action);
         *self.counts.entry(kind).or_default() += 1;
-        self.hasher.write_u64(now.0);
+        self.hasher.write_u64(now.as_micros());
         self.hasher.write_u64(kind as u64);
-        for word in contents {
+        for word in encode_contents(action) {
             self.hasher.write_u64(word);
         }
     }
@@ -68,41 +83,41 @@
     }
 }
 
-/// The contents of an action in numbers.
-fn encode(action: &Action) -> (ActionKind, Vec<u64>) {
+/// The contents of an action as numbers.
+fn encode_contents(action: &Action) -> Vec<u64> {
     match action {
         Action::Send { request, server, timeout_at, write_by } => {
-            let write_by = write_by.map_or(NONE, |at| at.0);
-            (ActionKind::Send, vec![request.0, server.0.into(), timeout_at.0, write_by])
+            let write_by = write_by.map_or(NONE, Time::as_micros);
+            vec![request.0, server.0.into(), timeout_at.as_micros(), write_by]
         }
-        Action::Cancel { request, attempt } => (ActionKind::Cancel, vec![request.0, attempt.0.into()]),
+        Action::Cancel { request, attempt } => vec![request.0, attempt.0.into()],
         Action::Reject { request, retry_after } => {
-            (ActionKind::Reject, vec![request.0, retry_after.map_or(NONE, |after| after.0)])
+            vec![request.0, retry_after.map_or(NONE, Span::as_micros)]
         }
-        Action::Fail { request } => (ActionKind::Fail, vec![request.0]),
-        Action::SetTimer { at, timer } => (ActionKind::SetTimer, vec![at.0, timer.number()]),
-        Action::CheckHealth { server } => (ActionKind::CheckHealth, vec![server.0.into()]),
-        Action::CloseIdle { server } => (ActionKind::CloseIdle, vec![server.0.into()]),
+        Action::Fail { request } => vec![request.0],
+        Action::SetTimer { at, timer } => vec![at.as_micros(), timer.number()],
+        Action::CheckHealth { server } | Action::CloseIdle { server } => vec![server.0.into()],
         Action::Gossip { to, payload } => {
             let mut contents = vec![to.map_or(NONE, |peer| peer.0.into())];
             contents.extend(payload.iter().map(|byte| u64::from(*byte)));
-            (ActionKind::Gossip, contents)
+            contents
         }
-        Action::WatchEndpoints => (ActionKind::WatchEndpoints, vec![NO_CONTENTS]),
-        Action::Notify(notice) => (ActionKind::Notify, encode_notice(notice)),
+        Action::WatchEndpoints => vec![NO_CONTENTS],
+        Action::Notify(notice) => encode_notice(notice),
     }
 }
 
-/// The contents of a notice in numbers. Ratios count to two decimals, as the digests were recorded when the
-/// balancer still worded its log lines itself.
+/// The contents of a notice as numbers. Ratios are rounded to two decimals, as the digests were recorded when
+/// the balancer formatted its log lines itself.
 fn encode_notice(notice: &Notice) -> Vec<u64> {
     let Notice::ServerEjected { server, latency_ratio, fleet_median, .. } = notice else {
         panic!("a notice of an unknown kind: {notice:?}");
     };
-    let ratios = [latency_ratio, fleet_median].map(|ratio| two_decimals(ratio.value()));
+    let ratios = [latency_ratio, fleet_median].map(|ratio| round_to_two_decimals(ratio.value()));
     [f64::from(server.0), ratios[0], ratios[1]].map(f64::to_bits).to_vec()
 }
 
-fn two_decimals(value: f64) -> f64 {
+/// Rounds as the formatting of log lines does.
+fn round_to_two_decimals(value: f64) -> f64 {
     format!("{value:.2}").parse().expect("a number")
 }
--- a/crates/balancer-core/tests/recorded_actions/clients.rs
+++ b/crates/balancer-core/tests/recorded_actions/clients.rs
@@ -1,57 +1,84 @@
-//! Simulated clients: the requests that they send, and those that they give up.
+//! Simulated clients: the requests that they send and those that they give up.
 
-use super::schedule::ScheduledEvent;
-use super::simulation::Simulation;
+use super::context::Context;
+use super::scenarios::Scenario;
+use super::schedule::{AttemptEnd, ScheduledEvent};
 use balancer_core::{
-    AttemptNumber, ClassId, Event, Request, RequestId, RoutingKey, ServerId, Span, TenantId, Time,
+    AttemptNumber, ClassId, Outcome, Request, RequestId, RoutingKey, ServerId, Span, TenantId, Time,
 };
 use std::collections::BTreeMap;
 
-/// An attempt of a request that a server has.
+/// An attempt that a server has not answered.
 #[derive(Clone, Copy)]
 pub struct InFlightAttempt {
     pub server: ServerId,
     pub sent_at: Time,
 }
 
-/// A request as its client sees it.
+/// The state of a request that a client has sent.
 #[derive(Default)]
-pub struct ClientRequest {
-    pub attempt_count: u32,
-    pub has_ended: bool,
-    pub is_streaming: bool,
-    pub in_flight: BTreeMap<u32, InFlightAttempt>,
+struct ClientRequest {
+    attempt_count: u32,
+    has_ended: bool,
+    is_streaming: bool,
+    in_flight: BTreeMap<AttemptNumber, InFlightAttempt>,
 }
 
-impl Simulation {
-    /// Sends a request and schedules the next one.
-    pub fn send_next_request(&mut self) {
-        if self.next_request >= self.scenario.request_count {
-            return;
+/// All clients of a simulation.
+pub struct Clients {
+    /// Clients wait for this share of their class's deadline.
+    pub timeout_factor: f64,
+    /// Requests arrive more often by this factor.
+    pub arrival_rate_factor: f64,
+    scenario: Scenario,
+    requests: BTreeMap<RequestId, ClientRequest>,
+    next_request: u64,
+}
+
+impl Clients {
+    pub fn new(scenario: &Scenario) -> Self {
+        Clients {
+            timeout_factor: 1.0,
+            arrival_rate_factor: 1.0,
+            scenario: scenario.clone(),
+            requests: BTreeMap::new(),
+            next_request: 0,
         }
-        let mean_gap_ms = self.scenario.mean_arrival_gap_ms;
-        let gap = -(1.0 - self.rng.f64()).ln() * mean_gap_ms / self.arrival_rate_factor;
-        self.schedule(gap, ScheduledEvent::Arrival);
-        let request = self.draw_request();
-        let id = request.id;
-        let is_class_streaming = self.scenario.settings.classes[request.class.0].is_streaming;
+    }
+
+    /// Whether all requests of the scenario have been sent.
+    pub fn have_sent_all(&self) -> bool {
+        self.next_request >= self.scenario.request_count
+    }
+
+    /// Whether all requests that have been sent have ended.
+    pub fn are_all_answered(&self) -> bool {
+        self.requests.values().all(|request| request.has_ended)
+    }
+
+    /// Sends a request and schedules what its client will do and the arrival of the next request.
+    pub fn send_request(&mut self, context: &mut Context) -> Request {
+        let gap_ms = context.draw_gap_ms(self.scenario.mean_arrival_gap_ms) / self.arrival_rate_factor;
+        context.schedule_after(gap_ms, ScheduledEvent::Arrival);
+        let request = self.draw_request(&mut context.rng);
         self.next_request += 1;
-        self.requests.insert(id, ClientRequest::default());
-        if self.rng.u32(0..40) == 0 {
-            let after_ms = self.rng.f64() * 300.0;
-            self.schedule(after_ms, ScheduledEvent::Disconnect(id));
+        self.requests.insert(request.id, ClientRequest::default());
+        if context.rng.u32(0..40) == 0 {
+            let after_ms = context.rng.f64() * 300.0;
+            context.schedule_after(after_ms, ScheduledEvent::Disconnect(request.id));
         }
-        if is_class_streaming && self.rng.u32(0..4) == 0 {
-            let after_ms = 5.0 + self.rng.f64() * 20.0;
-            self.schedule(after_ms, ScheduledEvent::FirstByte(id));
+        let is_class_streaming = self.scenario.settings.classes[request.class.0].is_streaming;
+        if is_class_streaming && context.rng.u32(0..4) == 0 {
+            let after_ms = 5.0 + context.rng.f64() * 20.0;
+            context.schedule_after(after_ms, ScheduledEvent::FirstByte(request.id));
         }
-        self.handle(Event::Request(request));
+        request
     }
 
-    fn draw_request(&mut self) -> Request {
-        let (rng, settings) = (&mut self.rng, &self.scenario.settings);
+    fn draw_request(&self, rng: &mut fastrand::Rng) -> Request {
+        let settings = &self.scenario.settings;
         let class = rng.usize(0..settings.classes.len());
-        let timeout_factor = if rng.u32(0..10) == 0 { rng.f64() } else { self.client_timeout_factor };
+        let timeout_factor = if rng.u32(0..10) == 0 { rng.f64() } else { self.timeout_factor };
         let time_left = settings.classes[class].deadline * timeout_factor;
         let mut request = Request::new(RequestId(self.next_request), ClassId(class), time_left);
         if !settings.tenants.is_empty() {
@@ -68,30 +95,56 @@
         request
     }
 
-    /// A client gives its request up, if it has not ended.
-    pub fn disconnect(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(|client_request| !client_request.has_ended) {
-            self.end_request(request);
-            self.handle(Event::ClientDisconnected { request });
+    /// Ends a request whose client disconnects; returns whether it had not ended before.
+    pub fn disconnect(&mut self, request: RequestId) -> bool {
+        let is_pending = !self.has_ended(request);
+        self.end_request(request);
+        is_pending
+    }
+
+    /// Starts to stream the response to the last attempt of a request; returns that attempt. `None` if the
+    /// request has ended or has not been sent.
+    pub fn begin_stream(&mut self, request: RequestId) -> Option<AttemptNumber> {
+        let request = self.request_mut(request);
+        if request.has_ended || request.attempt_count == 0 {
+            return None;
         }
+        request.is_streaming = true;
+        Some(AttemptNumber(request.attempt_count - 1))
+    }
+
+    /// Records an attempt that the balancer has sent; returns its number.
+    pub fn start_attempt(&mut self, request: RequestId, attempt: InFlightAttempt) -> AttemptNumber {
+        let request = self.request_mut(request);
+        let number = AttemptNumber(request.attempt_count);
+        request.attempt_count += 1;
+        request.in_flight.insert(number, attempt);
+        number
     }
 
-    /// The answer to the last attempt of a request begins to stream.
-    pub fn begin_stream(&mut self, request: RequestId) {
-        let Some(client_request) = self.requests.get_mut(&request) else { return };
-        if client_request.has_ended || client_request.attempt_count == 0 {
-            return;
+    pub fn in_flight_attempt(&self, request: RequestId, number: AttemptNumber) -> Option<InFlightAttempt> {
+        self.requests[&request].in_flight.get(&number).copied()
+    }
+
+    /// Ends an attempt, and its request if that is answered; returns whether the attempt was in flight.
+    pub fn end_attempt(&mut self, end: &AttemptEnd) -> bool {
+        let request = self.request_mut(end.request);
+        if request.in_flight.remove(&end.attempt).is_none() {
+            return false;
         }
-        client_request.is_streaming = true;
-        let attempt = AttemptNumber(client_request.attempt_count - 1);
-        self.handle(Event::FirstByte { request, attempt });
+        request.has_ended |= end.outcome == Outcome::Success || request.is_streaming;
+        true
     }
 
     pub fn end_request(&mut self, request: RequestId) {
         self.request_mut(request).has_ended = true;
     }
 
-    pub fn request_mut(&mut self, request: RequestId) -> &mut ClientRequest {
+    pub fn has_ended(&self, request: RequestId) -> bool {
+        self.requests[&request].has_ended
+    }
+
+    fn request_mut(&mut self, request: RequestId) -> &mut ClientRequest {
         self.requests.get_mut(&request).expect("a client has sent it")
     }
 }
--- /dev/null
+++ b/crates/balancer-core/tests/recorded_actions/fleet.rs
@@ -0,0 +1,164 @@
+//! Simulated servers: how they respond to attempts and health checks.
+
+use super::scenarios::Scenario;
+use balancer_core::{
+    CellId, Endpoint, EndpointStatus, LoadReport, MachineKindId, Outcome, ServerId, Time, ZoneId,
+};
+use std::collections::BTreeMap;
+
+/// What is wrong with a server.
+#[derive(Clone, Copy, PartialEq)]
+pub enum ServerFault {
+    None,
+    /// It is slower by this factor.
+    Slow(f64),
+    Hangs,
+    RefusesConnections,
+    ReturnsErrors,
+    RejectsAll,
+    ResetsConnections,
+}
+
+struct Server {
+    endpoint: Endpoint,
+    in_flight: u32,
+    fault: ServerFault,
+}
+
+/// How an attempt ends that is neither cancelled nor timed out.
+pub struct ServerResponse {
+    pub outcome: Outcome,
+    pub after_ms: f64,
+}
+
+impl ServerResponse {
+    /// This response, or a timeout if it takes longer than `timeout_ms`.
+    pub fn within(self, timeout_ms: f64) -> Self {
+        if self.after_ms < timeout_ms {
+            self
+        } else {
+            ServerResponse { outcome: Outcome::TimedOut, after_ms: timeout_ms }
+        }
+    }
+}
+
+impl Server {
+    /// The response to an attempt that takes `service_ms` at a server without a fault.
+    fn respond(&self, service_ms: f64) -> ServerResponse {
+        let (outcome, after_ms) = match self.fault {
+            ServerFault::None => (Outcome::Success, service_ms),
+            ServerFault::Slow(factor) => (Outcome::Success, service_ms * factor),
+            ServerFault::Hangs => (Outcome::TimedOut, f64::INFINITY),
+            ServerFault::RefusesConnections => (Outcome::ConnectFailed, 3.0),
+            ServerFault::ReturnsErrors => (Outcome::ServerError, 4.0),
+            ServerFault::RejectsAll => (Outcome::Rejected, 2.0),
+            ServerFault::ResetsConnections => (Outcome::ConnectionReset, 0.4 * service_ms),
+        };
+        ServerResponse { outcome, after_ms }
+    }
+}
+
+/// All servers of a simulation.
+pub struct Fleet {
+    /// Every server is slower by this factor.
+    pub slowness: f64,
+    servers: BTreeMap<ServerId, Server>,
+    next_server: u32,
+    zone_count: u32,
+    machine_kind_count: u32,
+    base_latency_ms: f64,
+}
+
+impl Fleet {
+    /// A fleet without servers.
+    pub fn new(scenario: &Scenario) -> Self {
+        Fleet {
+            slowness: 1.0,
+            servers: BTreeMap::new(),
+            next_server: 0,
+            zone_count: scenario.zone_count,
+            machine_kind_count: scenario.machine_kind_count,
+            base_latency_ms: scenario.base_latency_ms,
+        }
+    }
+
+    pub fn add_server(&mut self, started_at: Option<Time>) -> ServerId {
+        let number = self.next_server;
+        self.next_server += 1;
+        let id = ServerId(number);
+        let endpoint = Endpoint {
+            zone: ZoneId(number % self.zone_count),
+            machine_kind: MachineKindId(number % self.machine_kind_count),
+            cell: CellId(number % self.zone_count),
+            weight: 1.0 + f64::from(number % 3),
+            started_at,
+            ..Endpoint::serving(id)
+        };
+        self.servers.insert(id, Server { endpoint, in_flight: 0, fault: ServerFault::None });
+        id
+    }
+
+    fn server_mut(&mut self, id: ServerId) -> &mut Server {
+        self.servers.get_mut(&id).expect("it was added")
+    }
+
+    pub fn endpoint(&self, id: ServerId) -> &Endpoint {
+        &self.servers[&id].endpoint
+    }
+
+    /// The endpoint list as discovery publishes it.
+    pub fn listed_endpoints(&self) -> Vec<Endpoint> {
+        let endpoints = self.servers.values().map(|server| &server.endpoint);
+        endpoints.filter(|endpoint| endpoint.status != EndpointStatus::Removed).cloned().collect()
+    }
+
+    /// Any server, including draining and removed ones.
+    pub fn draw_server(&self, rng: &mut fastrand::Rng) -> ServerId {
+        let position = rng.usize(0..self.servers.len());
+        *self.servers.keys().nth(position).expect("within the count of servers")
+    }
+
+    pub fn set_fault(&mut self, id: ServerId, fault: ServerFault) {
+        self.server_mut(id).fault = fault;
+    }
+
+    pub fn set_status(&mut self, id: ServerId, status: EndpointStatus) {
+        self.server_mut(id).endpoint.status = status;
+    }
+
+    /// Starts a new process of a server, without the fault of the old one.
+    pub fn restart(&mut self, id: ServerId, now: Time) {
+        let server = self.server_mut(id);
+        server.endpoint.started_at = Some(now);
+        server.fault = ServerFault::None;
+    }
+
+    /// Starts an attempt at a server and returns the server's response to it.
+    pub fn start_attempt(&mut self, id: ServerId, rng: &mut fastrand::Rng) -> ServerResponse {
+        let noise = 0.5 + rng.f64();
+        let latency_ms = self.base_latency_ms * self.slowness;
+        let server = self.server_mut(id);
+        server.in_flight += 1;
+        let load_factor = 1.0 + f64::from(server.in_flight) / 8.0;
+        let machine_factor = 1.0 + 0.7 * f64::from(server.endpoint.machine_kind.0);
+        server.respond(latency_ms * machine_factor * load_factor * noise)
+    }
+
+    pub fn end_attempt(&mut self, id: ServerId) {
+        self.server_mut(id).in_flight -= 1;
+    }
+
+    pub fn answers_health_checks(&self, id: ServerId) -> bool {
+        self.servers[&id].fault != ServerFault::Hangs
+    }
+
+    /// A load report of a server; one in twenty is invalid.
+    pub fn draw_load_report(&self, id: ServerId, rng: &mut fastrand::Rng) -> LoadReport {
+        if rng.u32(0..20) == 0 {
+            return LoadReport::new(vec![f64::NAN, -4.0]);
+        }
+        let in_flight = self.servers[&id].in_flight;
+        let load = f64::from(in_flight) + rng.f64() * 6.0 * self.slowness;
+        LoadReport::new(vec![load, 20.0])
+    }
+}
--- a/crates/balancer-core/tests/recorded_actions/main.rs
+++ b/crates/balancer-core/tests/recorded_actions/main.rs
@@ -1,18 +1,18 @@
-//! Plays long seeded sequences of events and compares a digest of every action with the one recorded before.
+//! Runs long seeded simulations and compares the digest of all actions of each with the recorded digest.
 //!
 //! A balancer reads no clock and starts no thread, so equal seeds and events give equal actions. A change
-//! that is meant to leave decisions alone (names, modules, types) must leave every digest as it is. A change
-//! that is meant to alter decisions records new digests in its own commit and says so.
+//! that is not meant to affect decisions (names, modules, types) must leave every digest as it is. A change
+//! that is meant to affect decisions records new digests in its own commit and says so.
 
 #[path = "../common/mod.rs"]
 mod common;
 
 mod action_recorder;
 mod clients;
-mod faults;
+mod context;
+mod fleet;
 mod scenarios;
 mod schedule;
-mod servers;
 mod simulation;
 
 use action_recorder::ActionKind;
@@ -20,14 +20,14 @@
 use simulation::Simulation;
 use std::collections::BTreeMap;
 
-/// A scenario and the digest of the actions that it led to when it was recorded.
+/// A scenario and the digest of its actions when it was recorded.
 struct Recording {
     name: &'static str,
     scenario: Scenario,
     digest: u64,
 }
 
-/// Recorded with the program as it was before its code was reorganised.
+/// The recordings, made before the code was reorganised.
 fn recordings() -> Vec<Recording> {
     let recording = |name, scenario, digest| Recording { name, scenario, digest };
     vec![
@@ -62,7 +62,7 @@
     assert!(changes.is_empty(), "other actions than recorded:\n{}", changes.join("\n"));
 }
 
-/// A digest over scenarios that hardly act would show little.
+/// The digests of scenarios with few actions, or few kinds of action, would show little.
 #[test]
 fn scenarios_cover_every_kind_of_action() {
     let mut totals: BTreeMap<ActionKind, u64> = BTreeMap::new();
--- a/crates/balancer-core/tests/recorded_actions/schedule.rs
+++ b/crates/balancer-core/tests/recorded_actions/schedule.rs
@@ -1,14 +1,13 @@
-//! What is going to happen in a simulation, and when.
+//! The future events of a simulation.
 
-use super::servers::AttemptEnd;
-use balancer_core::{EndpointUpdate, RequestId, ServerId, Time, TimerId};
+use balancer_core::{AttemptNumber, EndpointUpdate, Outcome, RequestId, ServerId, Time, TimerId};
 use std::collections::BTreeMap;
 
-/// Something that happens at a time set before.
+/// Something that will happen in a simulation.
 pub enum ScheduledEvent {
     Arrival,
     Fault,
-    /// The fleet, discovery and the clients are as usual again.
+    /// The end of all faults but those of single servers.
     Calm,
     Recovery(ServerId),
     Endpoints(EndpointUpdate),
@@ -20,7 +19,22 @@
     Gossip(Vec<u8>),
 }
 
-/// Events in the order of their times; those of one time in the order in which they were added.
+/// The end of an attempt at a server.
+pub struct AttemptEnd {
+    pub request: RequestId,
+    pub attempt: AttemptNumber,
+    pub server: ServerId,
+    pub outcome: Outcome,
+    pub sent_at: Time,
+}
+
+/// An event that was due next.
+pub struct DueEvent {
+    pub at: Time,
+    pub event: ScheduledEvent,
+}
+
+/// Events in the order of their times; events of the same time in the order in which they were added.
 #[derive(Default)]
 pub struct Schedule {
     events: BTreeMap<(Time, u64), ScheduledEvent>,
@@ -33,9 +47,9 @@
         self.events.insert((at, self.added_count), event);
     }
 
-    /// Takes the next event and its time.
-    pub fn pop(&mut self) -> Option<(Time, ScheduledEvent)> {
+    /// Removes the next event.
+    pub fn pop(&mut self) -> Option<DueEvent> {
         let ((at, _), event) = self.events.pop_first()?;
-        Some((at, event))
+        Some(DueEvent { at, event })
     }
 }
--- a/crates/balancer-core/tests/recorded_actions/simulation.rs
+++ b/crates/balancer-core/tests/recorded_actions/simulation.rs
@@ -1,33 +1,33 @@
-//! A discrete-event simulation of one balancer's surroundings.
+//! A discrete-event simulation of one balancer with its servers, clients and discovery.
+
+mod faults;
 
 use super::action_recorder::ActionRecorder;
-use super::clients::ClientRequest;
+use super::clients::{Clients, InFlightAttempt};
+use super::context::Context;
+use super::fleet::Fleet;
 use super::scenarios::{InitialFleet, Scenario};
-use super::schedule::{Schedule, ScheduledEvent};
-use super::servers::Server;
+use super::schedule::{AttemptEnd, ScheduledEvent};
 use balancer_core::{
-    Action, Balancer, EndpointStatus, EndpointUpdate, Event, PeerId, RequestId, ServerId, Span, Time,
+    Action, AttemptNumber, Balancer, EndpointStatus, EndpointUpdate, Event, LoadReport, LoadReportSource,
+    Outcome, PeerId, RequestId, ServerId, Span, Time,
 };
-use std::collections::BTreeMap;
 
-/// The balancer, its servers and its clients.
+/// The time until a cancelled attempt has ended.
+const CANCEL_MS: f64 = 1.0;
+/// The time that a health check takes.
+const HEALTH_CHECK: Span = Span::from_millis(2);
+/// The time until an update of the endpoint list arrives.
+const DISCOVERY_MS: f64 = 5.0;
+
+/// A balancer and its surroundings. Carries out the balancer's actions and passes it the events that follow.
 pub struct Simulation {
-    pub scenario: Scenario,
-    pub rng: fastrand::Rng,
-    pub now: Time,
-    pub servers: BTreeMap<ServerId, Server>,
-    pub next_server: u32,
-    pub requests: BTreeMap<RequestId, ClientRequest>,
-    pub next_request: u64,
-    /// Every server is slower by this factor.
-    pub fleet_slowness: f64,
-    pub is_discovery_down: bool,
-    /// Clients wait for this part of their class's deadline.
-    pub client_timeout_factor: f64,
-    /// Requests arrive more often by this factor.
-    pub arrival_rate_factor: f64,
+    scenario: Scenario,
+    context: Context,
     balancer: Balancer,
-    schedule: Schedule,
+    fleet: Fleet,
+    clients: Clients,
+    is_discovery_down: bool,
     recorder: ActionRecorder,
 }
 
@@ -35,18 +35,11 @@
     pub fn new(scenario: Scenario) -> Self {
         let balancer = Balancer::new(scenario.settings.clone(), scenario.seed).expect("usable settings");
         let mut simulation = Simulation {
-            rng: fastrand::Rng::with_seed(scenario.seed ^ 0x5eed),
-            now: Time::from_millis(1_000_000),
-            servers: BTreeMap::new(),
-            next_server: 0,
-            requests: BTreeMap::new(),
-            next_request: 0,
-            fleet_slowness: 1.0,
-            is_discovery_down: false,
-            client_timeout_factor: 1.0,
-            arrival_rate_factor: 1.0,
+            context: Context::new(scenario.seed ^ 0x5eed),
             balancer,
-            schedule: Schedule::default(),
+            fleet: Fleet::new(&scenario),
+            clients: Clients::new(&scenario),
+            is_discovery_down: false,
             recorder: ActionRecorder::default(),
             scenario,
         };
@@ -59,47 +52,41 @@
         let initial_fleet = self.scenario.initial_fleet;
         for number in 0..self.scenario.server_count {
             let is_warming_up = initial_fleet == InitialFleet::HalfWarmingUp && number % 2 == 0;
-            let server = self.add_server(is_warming_up.then_some(self.now));
+            let server = self.fleet.add_server(is_warming_up.then_some(self.context.now()));
             if initial_fleet == InitialFleet::Draining {
-                self.server_mut(server).endpoint.status = EndpointStatus::Draining;
-                self.schedule(150.0, ScheduledEvent::Recovery(server));
+                self.fleet.set_status(server, EndpointStatus::Draining);
+                self.context.schedule_after(150.0, ScheduledEvent::Recovery(server));
             }
         }
     }
 
     fn start(&mut self) {
         let mut actions = Vec::new();
-        self.balancer.start(self.now, &mut actions);
+        self.balancer.start(self.context.now(), &mut actions);
         self.carry_out(actions);
-        self.handle(Event::Endpoints(EndpointUpdate::Cached(self.listed_endpoints())));
-        self.schedule(1.0, ScheduledEvent::Arrival);
-        self.schedule(500.0, ScheduledEvent::Fault);
+        self.handle(Event::Endpoints(EndpointUpdate::Cached(self.fleet.listed_endpoints())));
+        self.context.schedule_after(1.0, ScheduledEvent::Arrival);
+        self.context.schedule_after(500.0, ScheduledEvent::Fault);
     }
 
     /// Runs until all requests have arrived and ended; returns the recorded actions.
     pub fn run(mut self) -> ActionRecorder {
         while !self.is_over() {
-            let Some((at, event)) = self.schedule.pop() else { break };
-            self.now = self.now.max(at);
-            self.happen(event);
+            let Some(event) = self.context.next_event() else { break };
+            self.handle_scheduled(event);
         }
         self.recorder
     }
 
     fn is_over(&self) -> bool {
-        let has_every_request_arrived = self.next_request >= self.scenario.request_count;
-        has_every_request_arrived && self.requests.values().all(|request| request.has_ended)
+        self.clients.have_sent_all() && self.clients.are_all_answered()
     }
 
-    pub fn schedule(&mut self, after_ms: f64, event: ScheduledEvent) {
-        self.schedule.add(self.now + Span::from_millis_f64(after_ms), event);
-    }
-
-    fn happen(&mut self, event: ScheduledEvent) {
+    fn handle_scheduled(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::Arrival => self.send_next_request(),
             ScheduledEvent::Fault => self.inject_fault(),
-            ScheduledEvent::Calm => self.calm(),
+            ScheduledEvent::Calm => self.end_common_faults(),
             ScheduledEvent::Recovery(server) => self.recover(server),
             ScheduledEvent::Endpoints(update) => self.handle(Event::Endpoints(update)),
             ScheduledEvent::Timer(timer) => self.handle(Event::TimerDue(timer)),
@@ -111,27 +98,123 @@
         }
     }
 
-    /// Hands an event to the balancer and carries out what it answers.
-    pub fn handle(&mut self, event: Event) {
+    /// Passes an event to the balancer and carries out the actions that it returns.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.balancer.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.context.now(), event, &mut actions);
         self.carry_out(actions);
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.recorder.record(self.now, &action);
+            self.recorder.record(self.context.now(), &action);
             match action {
                 Action::Send { request, server, timeout_at, .. } => {
                     self.send_attempt(request, server, timeout_at);
                 }
                 Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
-                Action::Reject { request, .. } | Action::Fail { request } => self.end_request(request),
-                Action::SetTimer { at, timer } => self.schedule.add(at, ScheduledEvent::Timer(timer)),
-                Action::CheckHealth { server } => self.schedule(2.0, ScheduledEvent::HealthCheckEnd(server)),
+                Action::Reject { request, .. } | Action::Fail { request } => {
+                    self.clients.end_request(request);
+                }
+                Action::SetTimer { at, timer } => {
+                    self.context.schedule_at(at, ScheduledEvent::Timer(timer));
+                }
+                Action::CheckHealth { server } => {
+                    let after_ms = HEALTH_CHECK.as_millis_f64();
+                    self.context.schedule_after(after_ms, ScheduledEvent::HealthCheckEnd(server));
+                }
                 Action::WatchEndpoints => self.publish_all(),
                 _ => {}
             }
         }
     }
+
+    fn send_next_request(&mut self) {
+        if self.clients.have_sent_all() {
+            return;
+        }
+        let request = self.clients.send_request(&mut self.context);
+        self.handle(Event::Request(request));
+    }
+
+    fn disconnect(&mut self, request: RequestId) {
+        if self.clients.disconnect(request) {
+            self.handle(Event::ClientDisconnected { request });
+        }
+    }
+
+    fn begin_stream(&mut self, request: RequestId) {
+        if let Some(attempt) = self.clients.begin_stream(request) {
+            self.handle(Event::FirstByte { request, attempt });
+        }
+    }
+
+    fn send_attempt(&mut self, request: RequestId, server: ServerId, timeout_at: Time) {
+        let response = self.fleet.start_attempt(server, &mut self.context.rng);
+        let sent_at = self.context.now();
+        let attempt = self.clients.start_attempt(request, InFlightAttempt { server, sent_at });
+        let response = response.within(timeout_at.since(sent_at).as_millis_f64());
+        let end = AttemptEnd { request, attempt, server, outcome: response.outcome, sent_at };
+        self.context.schedule_after(response.after_ms, ScheduledEvent::AttemptEnd(end));
+    }
+
+    fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptNumber) {
+        let Some(in_flight) = self.clients.in_flight_attempt(request, attempt) else { return };
+        let end = AttemptEnd {
+            request,
+            attempt,
+            server: in_flight.server,
+            outcome: Outcome::Cancelled,
+            sent_at: in_flight.sent_at,
+        };
+        self.context.schedule_after(CANCEL_MS, ScheduledEvent::AttemptEnd(end));
+    }
+
+    /// Ends an attempt, if it has not ended before.
+    fn end_attempt(&mut self, end: &AttemptEnd) {
+        let was_in_flight = self.clients.end_attempt(end);
+        if !was_in_flight {
+            return;
+        }
+        self.fleet.end_attempt(end.server);
+        let load_report = self.draw_response_load_report(end);
+        self.handle(Event::AttemptEnded {
+            request: end.request,
+            attempt: end.attempt,
+            outcome: end.outcome,
+            elapsed: self.context.now().since(end.sent_at),
+            load_report,
+            is_request_finished: self.clients.has_ended(end.request),
+        });
+    }
+
+    /// The load report of a response, if its server sends one.
+    fn draw_response_load_report(&mut self, end: &AttemptEnd) -> Option<LoadReport> {
+        let sends_reports = self.scenario.settings.load_report_source == LoadReportSource::Responses;
+        let has_report = sends_reports && end.outcome == Outcome::Success;
+        has_report.then(|| self.fleet.draw_load_report(end.server, &mut self.context.rng))
+    }
+
+    fn end_health_check(&mut self, server: ServerId) {
+        // Drawn even if it is not sent, as it was when the digests were recorded.
+        let load_report = self.fleet.draw_load_report(server, &mut self.context.rng);
+        let is_answered = self.fleet.answers_health_checks(server);
+        self.handle(Event::HealthChecked {
+            server,
+            outcome: if is_answered { Outcome::Success } else { Outcome::TimedOut },
+            elapsed: HEALTH_CHECK,
+            load_report: is_answered.then_some(load_report),
+        });
+    }
+
+    /// Publishes the complete endpoint list.
+    fn publish_all(&mut self) {
+        self.publish(EndpointUpdate::Complete(self.fleet.listed_endpoints()));
+    }
+
+    /// Sends an update of the endpoint list to the balancer, or a failure while discovery is down.
+    fn publish(&mut self, update: EndpointUpdate) {
+        let update = if self.is_discovery_down { EndpointUpdate::Failed } else { update };
+        self.context.schedule_after(DISCOVERY_MS, ScheduledEvent::Endpoints(update));
+    }
 }
