--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -19,7 +19,7 @@
     let mut harness = harness(4, 50);
     serve_with_outcomes(&mut harness, 60, 2.0 * LATENCY_OBJECTIVE_MS, |_| Outcome::TimedOut);
 
-    let sent = harness.send_burst(200);
+    let sent = harness.submit_burst(200);
     assert!((1..40).contains(&sent.len()), "{} of 200 sent to an overloaded fleet", sent.len());
     harness.advance_ms(1000.0);
     for request in sent {
@@ -28,7 +28,7 @@
     serve_sent_requests(&mut harness, 1000);
 
     let is_next_rejected = |_: &u32| {
-        let request = harness.send_request();
+        let request = harness.submit_request();
         is_rejected(&harness.actions, request.id)
     };
     let rejection_count = (0..50).filter(is_next_rejected).count();
@@ -38,7 +38,7 @@
 /// Submits requests; each one that is sent immediately succeeds after 20 ms.
 fn serve_sent_requests(harness: &mut Harness, request_count: u32) {
     for _ in 0..request_count {
-        let request = harness.send_request();
+        let request = harness.submit_request();
         if request.is_sent() {
             harness.advance_ms(20.0);
             harness.succeed(request.id, 20.0);
@@ -55,7 +55,7 @@
         _ => Outcome::Success,
     });
 
-    let sent_count = harness.send_burst(100).len();
+    let sent_count = harness.submit_burst(100).len();
 
     assert!(sent_count > 90, "{sent_count} of 100 sent");
 }
@@ -74,7 +74,7 @@
         }
     });
 
-    let sent_count = harness.send_burst(100).len();
+    let sent_count = harness.submit_burst(100).len();
 
     assert!((5..60).contains(&sent_count), "{sent_count} of 100 sent");
 }
@@ -86,7 +86,7 @@
     let mut harness = harness(14, 50);
     serve_successfully(&mut harness, 100, 0.6 * LATENCY_OBJECTIVE_MS);
 
-    let sent_count = harness.send_burst(100).len();
+    let sent_count = harness.submit_burst(100).len();
 
     assert!(sent_count < 40, "{sent_count} of 100 sent to servers that take long");
 }
@@ -96,9 +96,9 @@
 fn attempt_counts_as_slow_after_half_the_latency_objective() {
     let mut harness = harness(15, 50);
 
-    let waiting_count = harness.send_burst(100).len();
+    let waiting_count = harness.submit_burst(100).len();
     harness.advance_ms(0.8 * LATENCY_OBJECTIVE_MS);
-    let sent_count = harness.send_burst(100).len();
+    let sent_count = harness.submit_burst(100).len();
 
     assert!(waiting_count > 90, "{waiting_count} of 100 sent while nothing is known");
     assert!(sent_count < 70, "{sent_count} of 100 sent while as many wait for over half the objective");
@@ -113,10 +113,10 @@
     serve_successfully(&mut harness, 100, 20.0);
 
     harness.set_endpoints(fleet(40));
-    let sent_to_rest = harness.send_burst(200).len();
+    let sent_to_rest = harness.submit_burst(200).len();
     harness.set_endpoints(Vec::new());
     harness.set_endpoints(fleet(100));
-    let sent_to_all = harness.send_burst(200).len();
+    let sent_to_all = harness.submit_burst(200).len();
 
     assert!((50..110).contains(&sent_to_rest), "{sent_to_rest} of 200 sent to 40 servers, left of 100");
     assert!(sent_to_all > 180, "{sent_to_all} of 200 sent to the fleet that is back");
@@ -136,7 +136,7 @@
     let mut sent_by_class = [0, 0];
     for number in 0..2000 {
         let class = number % 2;
-        let request = harness.send_request_of(ClassId(class));
+        let request = harness.submit_request_of(ClassId(class));
         sent_by_class[class] += u32::from(request.is_sent());
     }
     sent_by_class.map(|count| f64::from(count) / 1000.0)
@@ -145,7 +145,7 @@
 /// Sends requests of two classes in turn, of which two of seven are answered slowly.
 fn overload_partially(harness: &mut Harness) {
     for number in 0..600 {
-        let request = harness.send_request_of(ClassId(number % 2));
+        let request = harness.submit_request_of(ClassId(number % 2));
         let elapsed_ms = if number % 7 < 2 { 0.6 * LATENCY_OBJECTIVE_MS } else { 20.0 };
         harness.advance_ms(elapsed_ms);
         if request.is_sent() {
@@ -179,12 +179,6 @@
     Settings { balancer_count: 20, ..six_attempt_settings() }
 }
 
-/// Submits requests until one is not sent immediately; returns those that were.
-fn send_until_full(harness: &mut Harness) -> Vec<RequestId> {
-    let next_sent = || Some(harness.send_request()).filter(SubmittedRequest::is_sent);
-    std::iter::from_fn(next_sent).map(|request| request.id).collect()
-}
-
 fn succeed_all(harness: &mut Harness, requests: &[RequestId], elapsed_ms: f64) {
     harness.advance_ms(elapsed_ms);
     for id in requests {
@@ -198,15 +192,15 @@
 fn round_of_late_answers_from_the_whole_fleet_halves_sends() {
     let mut harness = Harness::with_endpoints(one_of_twenty_settings(), 1, fleet(24));
 
-    let before = send_until_full(&mut harness);
+    let before = harness.fill_servers().sent;
     succeed_all(&mut harness, &before, 250.0);
     harness.advance_ms(250.0);
-    let after_late_answers = send_until_full(&mut harness);
+    let after_late_answers = harness.fill_servers().sent;
     succeed_all(&mut harness, &after_late_answers, 20.0);
     for _ in 0..500 {
-        harness.send_and_succeed(20.0);
+        harness.submit_and_succeed(20.0);
     }
-    let after_quick_answers = send_until_full(&mut harness);
+    let after_quick_answers = harness.fill_servers().sent;
 
     let [before, late, quick] = [before, after_late_answers, after_quick_answers].map(|sent| sent.len());
     assert!(late * 2 < before, "{late} sent, {before} before");
@@ -219,13 +213,13 @@
 fn late_answer_at_low_admission_pauses_no_server_after_recovery() {
     let mut harness = Harness::with_endpoints(one_of_twenty_settings(), 1, fleet(2));
     for _ in 0..30 {
-        harness.send_and_succeed(190.0);
+        harness.submit_and_succeed(190.0);
         harness.advance_ms(2000.0);
     }
 
     let mut used_servers = BTreeSet::new();
     for _ in 0..150 {
-        used_servers.extend(harness.send_and_succeed(5.0));
+        used_servers.extend(harness.submit_and_succeed(5.0));
         harness.advance_ms(45.0);
     }
 
--- a/crates/balancer-core/tests/common/fixtures.rs
+++ b/crates/balancer-core/tests/common/fixtures.rs
@@ -19,9 +19,13 @@
     pub cell_count: u32,
 }
 
+const ONE_ZONE: Topology = Topology { zone_count: 1, cell_count: 1 };
+/// Three zones, each of which is one cell.
+pub const THREE_ZONES: Topology = Topology { zone_count: 3, cell_count: 3 };
+
 /// Warm servers in one zone and one cell, numbered from 0.
 pub fn fleet(server_count: u32) -> Vec<Endpoint> {
-    fleet_in(server_count, Topology { zone_count: 1, cell_count: 1 })
+    fleet_in(server_count, ONE_ZONE)
 }
 
 /// Warm servers, numbered from 0; server `n` is in zone `n % zone_count` and cell `n % cell_count`.
--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -25,6 +25,19 @@
     pub fn is_sent(&self) -> bool {
         self.server.is_some()
     }
+
+    /// The server that it was sent to; panics if it was not sent immediately.
+    pub fn expect_sent(&self) -> ServerId {
+        self.server.expect("the request was sent immediately")
+    }
+}
+
+/// Requests that fill all servers.
+#[derive(Debug)]
+pub struct FilledServers {
+    pub sent: Vec<RequestId>,
+    /// The first request that was not sent immediately.
+    pub unsent: RequestId,
 }
 
 /// How a server responds to an attempt.
@@ -126,6 +139,11 @@
         self.advance(Span::from_millis_f64(ms))
     }
 
+    /// Advances the clock without firing timers.
+    pub fn advance_without_timers(&mut self, span: Span) {
+        self.now = self.now + span;
+    }
+
     /// Replaces the endpoint list.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         self.server_count = self.server_count.max(endpoints.len());
@@ -133,12 +151,12 @@
     }
 
     /// Submits a new request of class 0.
-    pub fn send_request(&mut self) -> SubmittedRequest {
-        self.send_request_of(ClassId(0))
+    pub fn submit_request(&mut self) -> SubmittedRequest {
+        self.submit_request_of(ClassId(0))
     }
 
     /// Submits a new request of a class, whose client waits for the class's deadline.
-    pub fn send_request_of(&mut self, class: ClassId) -> SubmittedRequest {
+    pub fn submit_request_of(&mut self, class: ClassId) -> SubmittedRequest {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let time_left = self.settings.classes[class.0].deadline;
@@ -147,14 +165,26 @@
     }
 
     /// Submits requests of class 0 at one moment; returns those that were sent immediately.
-    pub fn send_burst(&mut self, request_count: usize) -> Vec<SubmittedRequest> {
-        let requests = (0..request_count).map(|_| self.send_request());
+    pub fn submit_burst(&mut self, request_count: usize) -> Vec<SubmittedRequest> {
+        let requests = (0..request_count).map(|_| self.submit_request());
         requests.filter(SubmittedRequest::is_sent).collect()
     }
 
+    /// Submits requests of class 0 at one moment until one is not sent immediately.
+    pub fn fill_servers(&mut self) -> FilledServers {
+        let mut sent = Vec::new();
+        loop {
+            let request = self.submit_request();
+            if !request.is_sent() {
+                return FilledServers { sent, unsent: request.id };
+            }
+            sent.push(request.id);
+        }
+    }
+
     /// Submits a request of class 0, which succeeds if it is sent within `elapsed_ms`; returns its server.
-    pub fn send_and_succeed(&mut self, elapsed_ms: f64) -> Option<ServerId> {
-        let request = self.send_request();
+    pub fn submit_and_succeed(&mut self, elapsed_ms: f64) -> Option<ServerId> {
+        let request = self.submit_request();
         let server = request.server.or(find_target(&self.advance_ms(elapsed_ms), request.id));
         if server.is_some() {
             self.succeed(request.id, elapsed_ms);
@@ -171,7 +201,7 @@
     ) -> Vec<u32> {
         let mut attempts_by_server = vec![0; self.server_count];
         for _ in 0..load.request_count {
-            let request = self.send_request();
+            let request = self.submit_request();
             let mut target = request.server;
             let mut attempt = FIRST_ATTEMPT;
             while let Some(server) = target {
--- a/crates/balancer-core/tests/common/mod.rs
+++ b/crates/balancer-core/tests/common/mod.rs
@@ -15,9 +15,9 @@
 pub use actions::{find_target, is_failed, is_rejected, is_send};
 pub use fixtures::{
     class, deduplicated, fleet, fleet_in, idempotent_settings, settings_with_effect, six_attempt_settings,
-    Topology, DEADLINE, FIRST_ATTEMPT, LATENCY_OBJECTIVE_MS, SECOND_ATTEMPT,
+    Topology, DEADLINE, FIRST_ATTEMPT, LATENCY_OBJECTIVE_MS, SECOND_ATTEMPT, THREE_ZONES,
 };
-pub use harness::{Harness, Response, SequentialLoad, SubmittedRequest};
+pub use harness::{FilledServers, Harness, Response, SequentialLoad, SubmittedRequest};
 pub use rule::{Rule, Violation};
 pub use rule_checker::RuleChecker;
 pub use sparse::{serve_successfully, serve_with_outcomes, sparse_settings};
--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Tests of the concurrency limit of a server: it follows the latency of the server's answers.
+//! Tests of the concurrency limit of a server: it follows the latency and the rejections of the server.
 
 mod common;
 
@@ -6,28 +6,10 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// Requests that fill all servers, and the first one that is queued.
-struct FullFleet {
-    sent: Vec<RequestId>,
-    queued: RequestId,
-}
-
-/// Submits requests until one is queued.
-fn fill_servers(harness: &mut Harness) -> FullFleet {
-    let mut sent = Vec::new();
-    loop {
-        let request = harness.send_request();
-        if !request.is_sent() {
-            return FullFleet { sent, queued: request.id };
-        }
-        sent.push(request.id);
-    }
-}
-
 /// Submits requests until one is queued and answers all after `elapsed_ms`; returns how many were sent
 /// immediately.
 fn fill_and_answer(harness: &mut Harness, elapsed_ms: f64) -> usize {
-    let FullFleet { sent, queued } = fill_servers(harness);
+    let FilledServers { sent, unsent: queued } = harness.fill_servers();
     let sent_count = sent.len();
     harness.advance_ms(elapsed_ms);
     let mut target_of_queued = None;
@@ -64,43 +46,56 @@
 fn concurrency_limit_not_in_full_use_does_not_grow() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(1));
     for _ in 0..400 {
-        let pair = [harness.send_request(), harness.send_request()];
+        let pair = [harness.submit_request(), harness.submit_request()];
         harness.advance_ms(20.0);
         for request in pair {
             harness.succeed(request.id, 20.0);
         }
     }
 
-    let sent_count = harness.send_burst(20).len();
+    let sent_count = harness.submit_burst(20).len();
 
     assert!((2..=3).contains(&sent_count), "{sent_count} sent at once, two were in use");
 }
 
+/// A fleet that rejects every attempt.
+struct FullServers {
+    harness: Harness,
+    send_count: u32,
+    next_attempts: BTreeMap<RequestId, AttemptNumber>,
+}
+
+impl FullServers {
+    /// Rejects the attempts that these actions send, and those that the rejections lead to.
+    fn reject_all(&mut self, mut pending_actions: Vec<Action>) {
+        while let Some(action) = pending_actions.pop() {
+            let Action::Send { request, .. } = action else { continue };
+            self.send_count += 1;
+            let attempt = self.next_attempts.entry(request).or_insert(FIRST_ATTEMPT);
+            let actions = self.harness.end_attempt(request, *attempt, Outcome::Rejected, 1.0);
+            pending_actions.extend_from_slice(actions);
+            attempt.0 += 1;
+        }
+    }
+}
+
 /// A request rejected by a full server must not be retried at every other server immediately.
 #[test]
-fn full_servers_are_left_alone_for_a_while() {
-    let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(3));
-    let mut send_count = 0;
-    let mut next_attempts: BTreeMap<RequestId, AttemptNumber> = BTreeMap::new();
+fn full_servers_are_not_retried_immediately() {
+    let harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(3));
+    let mut fleet = FullServers { harness, send_count: 0, next_attempts: BTreeMap::new() };
 
     for _ in 0..200 {
-        harness.send_request();
-        let mut pending_actions = harness.actions.clone();
-        pending_actions.extend(harness.advance_ms(5.0));
-        while let Some(action) = pending_actions.pop() {
-            if let Action::Send { request, .. } = action {
-                send_count += 1;
-                let attempt = next_attempts.entry(request).or_insert(FIRST_ATTEMPT);
-                let actions = harness.end_attempt(request, *attempt, Outcome::Rejected, 1.0);
-                pending_actions.extend_from_slice(actions);
-                attempt.0 += 1;
-            }
-        }
+        fleet.harness.submit_request();
+        let mut actions = fleet.harness.actions.clone();
+        actions.extend(fleet.harness.advance_ms(5.0));
+        fleet.reject_all(actions);
     }
-    harness.advance_ms(300.0);
+    fleet.harness.advance_ms(300.0);
 
+    let send_count = fleet.send_count;
     assert!(send_count < 120, "{send_count} attempts for 200 requests to full servers");
-    harness.assert_no_violations();
+    fleet.harness.assert_no_violations();
 }
 
 /// The number of 300 requests that one of `balancer_count` balancers sends to a server that answers late.
@@ -109,7 +104,7 @@
     let mut harness = Harness::with_endpoints(settings, 1, fleet(1));
     let mut send_count = 0;
     for _ in 0..300 {
-        let request = harness.send_request();
+        let request = harness.submit_request();
         harness.advance_ms(250.0);
         if request.is_sent() {
             send_count += 1;
--- a/crates/balancer-core/tests/draining.rs
+++ b/crates/balancer-core/tests/draining.rs
@@ -13,7 +13,7 @@
     harness.handle(Event::Endpoints(update(fleet(2))));
 
     for _ in 0..50 {
-        let request = harness.send_request();
+        let request = harness.submit_request();
         assert_eq!(request.server, Some(ServerId(1)));
         harness.advance_ms(10.0);
         harness.succeed(request.id, 10.0);
@@ -53,7 +53,7 @@
     let mut watch_count = 0;
     for _ in 0..5 {
         harness.handle(Event::Endpoints(EndpointUpdate::Failed));
-        let request = harness.send_request();
+        let request = harness.submit_request();
         assert!(request.is_sent());
         harness.succeed(request.id, 10.0);
         let actions = harness.advance_ms(5000.0);
--- a/crates/balancer-core/tests/final_answers.rs
+++ b/crates/balancer-core/tests/final_answers.rs
@@ -17,7 +17,7 @@
 fn empty_fleet_queues_then_rejects() {
     let mut harness = Harness::new(settings(), 1);
 
-    let request = harness.send_request_of(IDEMPOTENT);
+    let request = harness.submit_request_of(IDEMPOTENT);
     assert_eq!(request.server, None);
     assert!(!is_rejected(&harness.actions, request.id), "it waits for a server first");
     let actions = harness.advance_ms(800.0);
@@ -29,7 +29,7 @@
 #[test]
 fn queued_request_is_sent_when_endpoints_arrive() {
     let mut harness = Harness::new(settings(), 1);
-    let request = harness.send_request_of(AT_MOST_ONCE);
+    let request = harness.submit_request_of(AT_MOST_ONCE);
 
     harness.set_endpoints(fleet(3));
 
@@ -55,7 +55,7 @@
 #[test]
 fn timed_out_at_most_once_request_fails_at_its_deadline() {
     let mut harness = Harness::with_endpoints(settings(), 1, fleet(3));
-    let request = harness.send_request_of(AT_MOST_ONCE);
+    let request = harness.submit_request_of(AT_MOST_ONCE);
 
     harness.advance_ms(800.0);
     harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 800.0);
@@ -71,7 +71,7 @@
 #[test]
 fn late_duplicate_and_unknown_events_are_ignored() {
     let mut harness = Harness::with_endpoints(settings(), 1, fleet(3));
-    let id = harness.send_request_of(IDEMPOTENT).id;
+    let id = harness.submit_request_of(IDEMPOTENT).id;
     harness.succeed(id, 20.0);
 
     for _ in 0..2 {
@@ -89,14 +89,14 @@
         assert!(harness.handle(check_of_unknown_server).is_empty());
     }
 
-    assert!(harness.send_request_of(IDEMPOTENT).is_sent());
+    assert!(harness.submit_request_of(IDEMPOTENT).is_sent());
     harness.assert_no_violations();
 }
 
 #[test]
 fn nothing_is_sent_after_the_client_disconnects() {
     let mut harness = Harness::with_endpoints(settings(), 1, fleet(3));
-    let request = harness.send_request_of(IDEMPOTENT);
+    let request = harness.submit_request_of(IDEMPOTENT);
 
     harness.handle(Event::ClientDisconnected { request: request.id });
 
@@ -109,7 +109,7 @@
     for max_attempts in 1..4 {
         let settings = Settings { max_attempts, ..settings() };
         let mut harness = Harness::with_endpoints(settings, 5, fleet(9));
-        let request = harness.send_request_of(IDEMPOTENT);
+        let request = harness.submit_request_of(IDEMPOTENT);
 
         let mut send_count = 1;
         for attempt in 0..max_attempts {
@@ -128,12 +128,12 @@
 #[test]
 fn requests_arriving_with_each_tick_do_not_starve_the_tick() {
     let mut harness = Harness::new(settings(), 1);
-    let first = harness.send_request_of(IDEMPOTENT);
+    let first = harness.submit_request_of(IDEMPOTENT);
 
     let mut actions = Vec::new();
     for _ in 0..200 {
-        harness.now = harness.now + Span::from_millis(5);
-        harness.send_request_of(IDEMPOTENT);
+        harness.advance_without_timers(Span::from_millis(5));
+        harness.submit_request_of(IDEMPOTENT);
         actions.extend(harness.advance(Span::ZERO));
     }
 
--- a/crates/balancer-core/tests/invalid_input.rs
+++ b/crates/balancer-core/tests/invalid_input.rs
@@ -17,8 +17,8 @@
     let mut harness = Harness::with_endpoints(settings(), 3, fleet(4));
     let mut requests_by_server = [0; 4];
     for _ in 0..200 {
-        let request = harness.send_request();
-        let server = request.server.expect("an idle fleet takes it");
+        let request = harness.submit_request();
+        let server = request.expect_sent();
         requests_by_server[server.0 as usize] += 1;
         harness.advance_ms(20.0);
         let report = if server.0 == 0 { report_of_server_0.to_vec() } else { vec![0.0] };
@@ -44,16 +44,16 @@
 #[test]
 fn clock_jump_keeps_the_fleet_in_use_and_every_request_answered() {
     let mut harness = Harness::with_endpoints(settings(), 3, fleet(4));
-    let in_flight: Vec<SubmittedRequest> = (0..6).map(|_| harness.send_request()).collect();
+    let in_flight: Vec<SubmittedRequest> = (0..6).map(|_| harness.submit_request()).collect();
 
-    harness.now = harness.now + CLOCK_JUMP;
+    harness.advance_without_timers(CLOCK_JUMP);
     for request in in_flight {
         harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 800.0);
     }
     harness.advance_ms(1000.0);
 
     let is_served = |_: &u32| {
-        let request = harness.send_request();
+        let request = harness.submit_request();
         harness.advance_ms(20.0);
         if request.is_sent() {
             harness.succeed(request.id, 20.0);
--- a/crates/balancer-core/tests/load_polling.rs
+++ b/crates/balancer-core/tests/load_polling.rs
@@ -45,7 +45,7 @@
 #[test]
 fn cheap_load_polls_find_the_least_loaded_candidate() {
     let mut harness = Harness::with_endpoints(polling_settings(), 10, fleet(20));
-    let request = harness.send_request();
+    let request = harness.submit_request();
     assert_eq!(request.server, None, "it waits for its candidates");
     let candidates = polled_servers(&harness);
     assert!(candidates.len() >= 2, "{candidates:?}");
@@ -65,13 +65,13 @@
 fn silent_poll_candidate_is_neither_awaited_nor_chosen() {
     let mut harness = Harness::with_endpoints(polling_settings(), 11, fleet(20));
 
-    let request = harness.send_request();
+    let request = harness.submit_request();
     let candidates = polled_servers(&harness);
     report_load(&mut harness, candidates[0], 3.0);
     let actions = harness.advance_ms(0.06 * LATENCY_OBJECTIVE_MS);
     assert_eq!(find_target(&actions, request.id), Some(candidates[0]));
 
-    let request = harness.send_request();
+    let request = harness.submit_request();
     let actions = harness.advance_ms(0.06 * LATENCY_OBJECTIVE_MS);
     assert!(find_target(&actions, request.id).is_some(), "with no report at all it is sent all the same");
 }
@@ -87,7 +87,7 @@
     ] {
         let mut harness = Harness::with_endpoints(settings, 12, fleet(20));
 
-        let request = harness.send_request();
+        let request = harness.submit_request();
 
         assert!(request.is_sent());
         assert!(polled_servers(&harness).is_empty());
@@ -117,10 +117,10 @@
         let mut to_warming_up = 0;
         let mut total = 0;
         for _ in 0..400 {
-            let request = harness.send_request();
+            let request = harness.submit_request();
             let polled_target = report_lowest_load_at_warming_up_server(&mut harness);
             let target = request.server.or(polled_target);
-            to_warming_up += u32::from(target.expect("sent") == WARMING_UP);
+            to_warming_up += u32::from(target.expect("the request was sent") == WARMING_UP);
             total += 1;
             harness.succeed(request.id, 20.0);
             harness.advance_ms(2.0);
--- a/crates/balancer-core/tests/outlier_ejection.rs
+++ b/crates/balancer-core/tests/outlier_ejection.rs
@@ -83,7 +83,7 @@
     let mut harness = harness(Effect::Idempotent, 5, 4);
     serve_successfully(&mut harness, 40, 20.0);
     // Two requests are pending at the silent server; all other servers answer theirs.
-    let requests = harness.send_burst(8);
+    let requests = harness.submit_burst(8);
     let silent = server_with_several_requests(&requests).expect("more requests than servers");
     let (hanging, answered): (Vec<_>, Vec<_>) =
         requests.into_iter().partition(|request| request.server == Some(silent));
@@ -108,7 +108,7 @@
 fn costly_request_is_not_overdue_before_its_objective() {
     let mut harness = harness(Effect::Idempotent, 5, 4);
     serve_successfully(&mut harness, 40, 20.0);
-    assert!(harness.send_request().is_sent());
+    assert!(harness.submit_request().is_sent());
 
     let before_objective = harness.advance_ms(195.0);
     let after_objective = harness.advance_ms(60.0);
@@ -126,11 +126,11 @@
     let settings = Settings { classes: vec![late_class], ..Settings::default() };
     let mut harness = Harness::with_endpoints(settings, 5, fleet(1));
     serve_successfully(&mut harness, 40, 20.0);
-    let hanging = harness.send_request().id;
+    let hanging = harness.submit_request().id;
 
     let cancel = cancel_of_first_attempt(hanging);
     let is_cancelled = (0..20).any(|_| {
-        let request = harness.send_request();
+        let request = harness.submit_request();
         assert!(request.is_sent());
         let actions = harness.advance_ms(20.0);
         harness.succeed(request.id, 20.0);
@@ -146,7 +146,7 @@
 #[test]
 fn at_most_once_request_is_not_cancelled() {
     let mut harness = harness(Effect::AtMostOnce, 5, 4);
-    let request = harness.send_request();
+    let request = harness.submit_request();
 
     let actions = harness.advance_ms(790.0);
 
@@ -162,10 +162,10 @@
     serve_successfully(&mut harness, 100, 20.0);
 
     for _ in 0..40 {
-        let lost = harness.send_request();
+        let lost = harness.submit_request();
         assert!(lost.is_sent(), "there is capacity for it");
         for _ in 0..6 {
-            harness.send_and_succeed(20.0).expect("there is capacity beside it");
+            harness.submit_and_succeed(20.0).expect("there is capacity beside it");
         }
         harness.advance_ms(680.0);
         harness.end_attempt(lost.id, FIRST_ATTEMPT, Outcome::TimedOut, 800.0);
--- a/crates/balancer-core/tests/random_events/generator.rs
+++ b/crates/balancer-core/tests/random_events/generator.rs
@@ -1,7 +1,7 @@
 //! Feeds a balancer random events and simulates the attempts that it sends.
 
 use super::attempts::InFlightAttempts;
-use super::common::{fleet_in, Harness, Topology};
+use super::common::{fleet_in, Harness, THREE_ZONES};
 use balancer_core::{
     Action, ClassId, Endpoint, EndpointStatus, EndpointUpdate, Event, LoadReport, Outcome, Request,
     RequestClass, RequestId, RoutingKey, Settings, Span,
@@ -42,7 +42,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let classes = settings.classes.clone();
         let mut harness = Harness::new(settings, seed ^ 0x5eed);
-        let endpoints = fleet_in(1 + rng.u32(0..9), Topology { zone_count: 3, cell_count: 3 });
+        let endpoints = fleet_in(1 + rng.u32(0..9), THREE_ZONES);
         harness.handle(Event::Endpoints(EndpointUpdate::Cached(endpoints.clone())));
         RandomEvents {
             harness,
@@ -66,7 +66,7 @@
     /// Handles one random event, or lets time pass.
     fn handle_random_event(&mut self, step: u32) -> Vec<Action> {
         match self.rng.u32(0..100) {
-            0..=39 => self.send_request(RequestId(u64::from(step))),
+            0..=39 => self.submit_request(RequestId(u64::from(step))),
             40..=79 if !self.attempts.is_empty() => self.end_attempt(),
             80..=83 if !self.attempts.is_empty() => self.begin_stream(),
             84..=86 => self.disconnect_client(step),
@@ -75,7 +75,7 @@
         }
     }
 
-    fn send_request(&mut self, id: RequestId) -> Vec<Action> {
+    fn submit_request(&mut self, id: RequestId) -> Vec<Action> {
         let rng = &mut self.rng;
         let class = rng.usize(0..self.classes.len());
         let time_left = self.classes[class].deadline * (rng.f64() * 1.2).min(1.0);
--- a/crates/balancer-core/tests/random_events/main.rs
+++ b/crates/balancer-core/tests/random_events/main.rs
@@ -37,10 +37,6 @@
     }
 }
 
-fn fleet_in_three_zones(server_count: u32) -> Vec<Endpoint> {
-    fleet_in(server_count, Topology { zone_count: 3, cell_count: 3 })
-}
-
 #[test]
 fn rules_hold_for_random_events() {
     for seed in 0..120 {
@@ -65,8 +61,8 @@
 #[test]
 fn different_seeds_give_different_choices() {
     let choices = |seed| {
-        let mut harness = Harness::with_endpoints(settings(2), seed, fleet_in_three_zones(9));
-        (0..20).map(|_| harness.send_request().server).collect::<Vec<_>>()
+        let mut harness = Harness::with_endpoints(settings(2), seed, fleet_in(9, THREE_ZONES));
+        (0..20).map(|_| harness.submit_request().server).collect::<Vec<_>>()
     };
 
     assert_ne!(choices(1), choices(2));
@@ -80,14 +76,14 @@
 
 impl RegularEvents {
     fn new(seed: u64) -> Self {
-        let harness = Harness::with_endpoints(settings(seed), seed, fleet_in_three_zones(7));
+        let harness = Harness::with_endpoints(settings(seed), seed, fleet_in(7, THREE_ZONES));
         RegularEvents { harness, step: 0 }
     }
 
     /// Sends the next request; all but every fourth are answered.
     fn step(&mut self) -> Vec<Action> {
         let class = ClassId((self.step % 3) as usize);
-        let request = self.harness.send_request_of(class);
+        let request = self.harness.submit_request_of(class);
         let mut actions = self.harness.actions.clone();
         actions.extend(self.harness.advance_ms(3.0));
         let is_answered = self.step % 4 != 0;
--- a/crates/balancer-core/tests/retry_permissions.rs
+++ b/crates/balancer-core/tests/retry_permissions.rs
@@ -63,11 +63,11 @@
         let settings = Settings { allows_hedging: self.allows_hedging, ..settings_with_effect(self.effect) };
         let topology = Topology { zone_count: ZONE_COUNT, cell_count: CELL_COUNT };
         let mut harness = Harness::with_endpoints(settings, 3, fleet_in(12, topology));
-        let request = harness.send_request();
+        let request = harness.submit_request();
         harness.advance_ms(self.elapsed_ms);
         harness.end_attempt(request.id, FIRST_ATTEMPT, self.outcome, self.elapsed_ms);
         let reaction = Reaction {
-            first_server: request.server.expect("an idle fleet takes a request").0,
+            first_server: request.expect_sent().0,
             retried_at: harness.target_of(request.id).map(|server| server.0),
             is_failed: is_failed(&harness.actions, request.id),
             is_rejected: is_rejected(&harness.actions, request.id),
@@ -119,19 +119,14 @@
     }
 }
 
-/// Nine servers in three zones and cells.
-fn three_zones() -> Vec<Endpoint> {
-    fleet_in(9, Topology { zone_count: 3, cell_count: 3 })
-}
-
 /// The scope is not that of the first attempt, which never ran, nor that of the last one.
 #[test]
 fn deduplication_scope_is_that_of_the_first_attempt_that_may_have_run() {
     let effect = deduplicated(DedupScope::Zone, 400.0);
     let settings = Settings { max_attempts: 6, ..settings_with_effect(effect) };
     for seed in 0..40 {
-        let mut harness = Harness::with_endpoints(settings.clone(), seed, three_zones());
-        let request = harness.send_request();
+        let mut harness = Harness::with_endpoints(settings.clone(), seed, fleet_in(9, THREE_ZONES));
+        let request = harness.submit_request();
 
         harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ConnectFailed, 1.0);
         let second = harness.target_of(request.id).expect("never ran: anywhere").0;
@@ -149,8 +144,8 @@
     let settings = settings_with_effect(deduplicated(DedupScope::Cell, 5000.0));
     let topology = Topology { zone_count: 2, cell_count: 4 };
     let mut harness = Harness::with_endpoints(settings, 9, fleet_in(8, topology));
-    let request = harness.send_request();
-    let first_cell = request.server.expect("it is sent").0 % 4;
+    let request = harness.submit_request();
+    let first_cell = request.expect_sent().0 % 4;
 
     harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ServerError, 1.0);
     assert!(harness.target_of(request.id).is_some());
@@ -187,8 +182,8 @@
         ..settings_with_effect(deduplicated(DedupScope::Fleet, 400.0))
     };
     for (elapsed_ms, is_retried) in [(140.0, true), (160.0, false)] {
-        let mut harness = Harness::with_endpoints(settings.clone(), 3, three_zones());
-        let request = harness.send_request();
+        let mut harness = Harness::with_endpoints(settings.clone(), 3, fleet_in(9, THREE_ZONES));
+        let request = harness.submit_request();
         harness.advance_ms(20.0);
         harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ConnectFailed, 20.0);
         let second_sent_at = harness.now;
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -49,7 +49,7 @@
     let mut harness = Harness::with_endpoints(settings, 1, fleet(3));
 
     for _ in 0..100 {
-        let request = harness.send_request();
+        let request = harness.submit_request();
         assert!(request.is_sent());
         harness.advance_ms(10.0);
         let report = Some(LoadReport::new(vec![f64::NAN, -1.0, 1e300]));
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -50,7 +50,7 @@
         let mut in_flight: Vec<InFlightRequest> = Vec::new();
         let end = harness.now + Span::from_millis_f64(self.duration_ms);
         while harness.now < end {
-            let request = harness.send_request();
+            let request = harness.submit_request();
             if let Some(server) = request.server {
                 counts.total += 1;
                 counts.to_counted_server += u32::from(server == self.counted_server);
@@ -137,7 +137,7 @@
     let mut harness = Harness::new(settings(), 4);
     harness.set_endpoints(warming_up_fleet(4, harness.now));
 
-    let sent_count = harness.send_burst(200).len();
+    let sent_count = harness.submit_burst(200).len();
 
     assert!(sent_count <= 8, "{sent_count} sent at once to four servers at a fifth of their capacity");
 }
--- a/crates/balancer-core/tests/sparse_slow_start.rs
+++ b/crates/balancer-core/tests/sparse_slow_start.rs
@@ -26,8 +26,8 @@
     harness
 }
 
-/// A server that is warming up was once thinned out twice, on entering the balancer's memory and at each choice
-/// from it: it got the square of its share, while the warm servers were overloaded.
+/// The capacity share of a server that is warming up was once applied twice, on entering the balancer's memory
+/// and at each choice from it: the server got the square of its share, and the warm servers were overloaded.
 #[test]
 fn warming_up_server_gets_its_capacity_share() {
     let costs = Costs { handshake: 0.08, ..Settings::default().costs };
@@ -71,8 +71,8 @@
     let mut to_warm = 0;
     let mut to_warming_up = 0;
     for _ in 0..4000 {
-        let request = harness.send_request();
-        let is_warming_up = request.server.expect("sent").0 >= 20;
+        let request = harness.submit_request();
+        let is_warming_up = request.expect_sent().0 >= 20;
         to_warming_up += u32::from(is_warming_up);
         to_warm += u32::from(!is_warming_up);
         let elapsed_ms = if is_warming_up { warming_up_ms } else { warm_ms };
--- a/crates/balancer-core/tests/sparse_view.rs
+++ b/crates/balancer-core/tests/sparse_view.rs
@@ -35,8 +35,8 @@
 
     let mut requests_by_kind = [0, 0];
     for _ in 0..600 {
-        let request = harness.send_request();
-        let kind = (request.server.expect("sent").0 % 2) as usize;
+        let request = harness.submit_request();
+        let kind = (request.expect_sent().0 % 2) as usize;
         requests_by_kind[kind] += 1;
         let elapsed_ms = [30.0, 90.0][kind];
         harness.advance_ms(elapsed_ms);
@@ -63,8 +63,8 @@
     let mut connections = ConnectionUse::default();
     let mut kept = BTreeSet::new();
     for _ in 0..request_count {
-        let request = harness.send_request();
-        let server = request.server.expect("sent");
+        let request = harness.submit_request();
+        let server = request.expect_sent();
         connections.reused_count += u32::from(!kept.insert(server));
         connections.used_servers.insert(server);
         let mut actions = harness.actions.clone();
@@ -119,7 +119,7 @@
         serve_successfully(&mut harness, 200, others_ms);
         let mut answers_of_slow_server = 0;
         while answers_of_slow_server < 5 {
-            let request = harness.send_request();
+            let request = harness.submit_request();
             // If all servers are slow, most requests are rejected.
             let Some(server) = request.server else { continue };
             let elapsed_ms = if server == SLOW_SERVER { SLOW_MS } else { others_ms };
--- a/crates/balancer-core/tests/suspicion.rs
+++ b/crates/balancer-core/tests/suspicion.rs
@@ -33,8 +33,8 @@
 #[test]
 fn gossip_is_sent_and_acted_on_until_it_expires() {
     let mut harness = Harness::with_endpoints(gossiping_settings(), 6, fleet(10));
-    let request = harness.send_request();
-    let silent = request.server.expect("sent");
+    let request = harness.submit_request();
+    let silent = request.expect_sent();
     harness.advance_ms(790.0);
 
     let payloads = gossip_payloads(harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 790.0));
--- a/crates/balancer-core/tests/wait_queue.rs
+++ b/crates/balancer-core/tests/wait_queue.rs
@@ -21,7 +21,7 @@
     let mut submitted = SubmittedRequests { sent: Vec::new(), queued: Vec::new() };
     for _ in 0..request_count {
         harness.advance_ms(1.0);
-        let request = harness.send_request();
+        let request = harness.submit_request();
         let list = if request.is_sent() { &mut submitted.sent } else { &mut submitted.queued };
         list.push(request.id);
     }
