--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -207,8 +207,8 @@
     assert!(quick * 3 > before, "good answers bring it back: {quick}");
 }
 
-/// A server's pause was once fixed at its last answer, which left servers without a request for up to 47 s after
-/// an overload.
+/// A server's pause was once fixed at its last answer, which left servers without a request for up to 47 s
+/// after an overload.
 #[test]
 fn late_answer_at_low_admission_pauses_no_server_after_recovery() {
     let mut harness = Harness::with_endpoints(one_of_twenty_settings(), 1, fleet(2));
--- a/crates/balancer-core/tests/draining.rs
+++ b/crates/balancer-core/tests/draining.rs
@@ -1,12 +1,13 @@
-//! Tests that draining and removed servers are sent no requests, and that a failed watch of the endpoint list is
-//! reopened.
+//! Tests that draining and removed servers are sent no requests, and that a failed watch of the endpoint list
+//! is reopened.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// Applies an update after which only the second of two servers is serving; asserts that it gets all requests.
+/// Applies an update after which only the second of two servers is serving; asserts that it gets all
+/// requests.
 fn assert_first_server_gets_no_requests_after(update: impl Fn(Vec<Endpoint>) -> EndpointUpdate) {
     let mut harness = Harness::with_endpoints(idempotent_settings(), 2, fleet(2));
 
--- a/crates/balancer-core/tests/final_answers.rs
+++ b/crates/balancer-core/tests/final_answers.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// Seen on a simulated day: a request queued at the moment of a tick delayed the tick, so that a steady stream of
-/// requests prevented it, and queued requests passed their deadline without an answer.
+/// Seen on a simulated day: a request queued at the moment of a tick delayed the tick, so that a steady
+/// stream of requests prevented it, and queued requests passed their deadline without an answer.
 #[test]
 fn requests_arriving_with_each_tick_do_not_starve_the_tick() {
     let mut harness = Harness::new(settings(), 1);
--- a/crates/balancer-core/tests/retry_permissions.rs
+++ b/crates/balancer-core/tests/retry_permissions.rs
@@ -171,9 +171,9 @@
     })
 }
 
-/// An attempt may be written as late as the connect timeout after its decision. A retry that could then be past
-/// the window is not started; one that is started carries the end of the window, which is counted from the
-/// first attempt that may have run.
+/// An attempt may be written as late as the connect timeout after its decision. A retry that could then be
+/// past the window is not started; one that is started carries the end of the window, which is counted from
+/// the first attempt that may have run.
 #[test]
 fn retry_carries_the_end_of_its_deduplication_window() {
     let settings = Settings {
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -36,8 +36,8 @@
     assert_eq!(error_after(|_| ()), None);
 }
 
-/// Without load reports, routing keys, tenants, health checks, cancels or retry advice, and with goal weights of
-/// zero, requests are served.
+/// Without load reports, routing keys, tenants, health checks, cancels or retry advice, and with goal weights
+/// of zero, requests are served.
 #[test]
 fn settings_with_only_a_class_suffice() {
     let settings = Settings {
--- a/crates/balancer-core/tests/shedding.rs
+++ b/crates/balancer-core/tests/shedding.rs
@@ -6,8 +6,8 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// A timeout shorter than its class's usual one marks a client's retry; past its latency objective, serving it
-/// is wasted work.
+/// A timeout shorter than its class's usual one marks a client's retry; past its latency objective, serving
+/// it is wasted work.
 #[test]
 fn client_retry_past_its_latency_objective_is_rejected() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(9));
--- a/crates/balancer-core/tests/sparse_slow_start.rs
+++ b/crates/balancer-core/tests/sparse_slow_start.rs
@@ -1,5 +1,5 @@
-//! Tests of slow start in a sparse view: the share of a warm server's load that a server that is warming up is
-//! sent.
+//! Tests of slow start in a sparse view: the share of a warm server's load that a server that is warming up
+//! is sent.
 
 mod common;
 
@@ -26,8 +26,9 @@
     harness
 }
 
-/// The capacity share of a server that is warming up was once applied twice, on entering the balancer's memory
-/// and at each choice from it: the server got the square of its share, and the warm servers were overloaded.
+/// The capacity share of a server that is warming up was once applied twice, on entering the balancer's
+/// memory and at each choice from it: the server got the square of its share, and the warm servers were
+/// overloaded.
 #[test]
 fn warming_up_server_gets_its_capacity_share() {
     let costs = Costs { handshake: 0.08, ..Settings::default().costs };
@@ -82,9 +83,9 @@
     f64::from(to_warming_up) / f64::from(to_warm)
 }
 
-/// Servers that are warming up were once kept to their guaranteed capacity even if they answered faster than the
-/// warm servers that got the rest. If faster, they get more, up to half of what would overload them; if slower,
-/// they get no more than before.
+/// Servers that are warming up were once kept to their guaranteed capacity even if they answered faster than
+/// the warm servers that got the rest. If faster, they get more, up to half of what would overload them; if
+/// slower, they get no more than before.
 #[test]
 fn warming_up_servers_faster_than_warm_ones_get_more() {
     let share_if_faster = share_of_warming_up_servers(60.0, 40.0);
--- a/crates/balancer-core/tests/sparse_view.rs
+++ b/crates/balancer-core/tests/sparse_view.rs
@@ -81,7 +81,8 @@
     connections
 }
 
-/// Without the limit, each balancer came to keep a connection to each server, which exceeded the servers' limits.
+/// Without the limit, each balancer came to keep a connection to each server, which exceeded the servers'
+/// limits.
 #[test]
 fn only_remembered_servers_keep_their_connections() {
     let mut harness = Harness::with_endpoints(sparse_settings(), 3, fleet(20));
@@ -107,9 +108,9 @@
     assert!(used_count > 50, "the draws still range over the fleet: {used_count} of 100 servers used");
 }
 
-/// A server slowed by a noisy neighbour has no more requests of the balancer in flight than others, so it once
-/// stayed remembered and was sent more than its share. If all servers are slow it stays remembered, or every
-/// request would open a connection.
+/// A server slowed by a noisy neighbour has no more requests of the balancer in flight than others, so it
+/// once stayed remembered and was sent more than its share. If all servers are slow it stays remembered, or
+/// every request would open a connection.
 #[test]
 fn relatively_slow_server_is_not_remembered() {
     const SLOW_SERVER: ServerId = ServerId(3);
--- a/crates/balancer-core/tests/suspicion.rs
+++ b/crates/balancer-core/tests/suspicion.rs
@@ -61,8 +61,8 @@
     );
 }
 
-/// If the link to a zone is cut, connecting to each of its servers fails; two failures are enough to avoid the
-/// whole zone.
+/// If the link to a zone is cut, connecting to each of its servers fails; two failures are enough to avoid
+/// the whole zone.
 #[test]
 fn cut_zone_is_avoided_after_two_failed_connects() {
     let settings = Settings { max_attempts: 1, ..sparse_settings() };
--- a/crates/balancer-core/tests/wait_queue.rs
+++ b/crates/balancer-core/tests/wait_queue.rs
@@ -1,5 +1,5 @@
-//! Tests of the wait queue: under overload, a queued request is sent while its answer can be in time, or rejected
-//! early.
+//! Tests of the wait queue: under overload, a queued request is sent while its answer can be in time, or
+//! rejected early.
 
 mod common;
 
