--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -137,8 +137,8 @@
 
     async fn open(&self) -> Option<Connection> {
         let stream = connect(self.address).await.ok()?;
-        let (sender, task) = start_http(&Builder::new(), TokioIo::new(stream)).await.ok()?;
-        Some(Connection { sender, _task: task })
+        let http = start_http(&Builder::new(), TokioIo::new(stream)).await.ok()?;
+        Some(Connection { sender: http.sender, _task: http.task })
     }
 }
 
--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -121,7 +121,7 @@
 
     /// Whether there is a server to send to.
     pub fn is_ready(&self) -> bool {
-        self.state.borrow().servers.has_server()
+        self.client.pool().has_server()
     }
 
     /// Hands a request to the balancer; its answer comes over the channel.
@@ -292,11 +292,11 @@
         let endpoints = state.servers.update(list, &self.host_settings);
         let pool = self.client.pool();
         for (endpoint, entry) in endpoints.iter().zip(&list.entries) {
-            pool.update(endpoint.server, entry);
+            pool.update_server(endpoint.server, entry);
         }
         if list.is_complete {
             let named: HashSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
-            pool.retain(|server| named.contains(&server));
+            pool.remove_unlisted_servers(&named);
         }
         endpoints
     }
--- a/crates/balancer-agent/src/driver/servers.rs
+++ b/crates/balancer-agent/src/driver/servers.rs
@@ -18,30 +18,13 @@
     names: ServerNames,
     /// Servers that have left, and when.
     removed: HashMap<ServerId, Instant>,
-    /// Servers that the list says are up.
-    up: HashSet<ServerId>,
 }
 
 impl ServerDirectory {
-    /// Whether any server is up.
-    pub fn has_server(&self) -> bool {
-        !self.up.is_empty()
-    }
-
     /// Takes in a list and returns it in the balancer's terms, an endpoint for each entry.
     pub fn update(&mut self, list: &EndpointList, settings: &HostSettings) -> Vec<Endpoint> {
-        if list.is_complete {
-            self.up.clear();
-        }
         let endpoints: Vec<Endpoint> =
             list.entries.iter().map(|entry| self.endpoint(entry, settings)).collect();
-        for endpoint in &endpoints {
-            if endpoint.is_serving() {
-                self.up.insert(endpoint.server);
-            } else {
-                self.up.remove(&endpoint.server);
-            }
-        }
         self.forget_removed(list.is_complete, &endpoints);
         endpoints
     }
--- a/crates/balancer-agent/src/http_client.rs
+++ b/crates/balancer-agent/src/http_client.rs
@@ -18,14 +18,22 @@
     }
 }
 
-/// Connects a socket whose small writes go out at once.
+/// A connected socket that speaks HTTP/1.1.
+pub struct HttpConnection<RequestBody> {
+    /// Sends requests over it.
+    pub sender: SendRequest<RequestBody>,
+    /// Drives it; must be kept for as long as the connection is used.
+    pub task: ConnectionTask,
+}
+
+/// Connects a socket without delaying small writes.
 ///
 /// # Errors
 ///
 /// If no connection can be made.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    // A connection without it is slower at the worst.
+    // Without the option the connection works, but may be slower.
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
@@ -38,7 +46,7 @@
 pub async fn start_http<Socket, RequestBody>(
     builder: &Builder,
     socket: Socket,
-) -> hyper::Result<(SendRequest<RequestBody>, ConnectionTask)>
+) -> hyper::Result<HttpConnection<RequestBody>>
 where
     Socket: Read + Write + Unpin + 'static,
     RequestBody: Body + 'static,
@@ -47,8 +55,8 @@
 {
     let (sender, connection) = builder.handshake(socket).await?;
     let task = tokio::task::spawn_local(async move {
-        // How the connection ended shows at the sender and in the bytes written.
+        // The sender and the count of written bytes tell how the connection ended.
         let _ = connection.await;
     });
-    Ok((sender, ConnectionTask(task)))
+    Ok(HttpConnection { sender, task: ConnectionTask(task) })
 }
--- a/crates/balancer-agent/src/upstream/client.rs
+++ b/crates/balancer-agent/src/upstream/client.rs
@@ -79,8 +79,8 @@
             self.pool.release(connection);
             return Some(AttemptOutcome::without_answer(Outcome::NotSent));
         }
-        let written_when_complete = connection.wire.written() + min_size(&request);
-        progress.start_writing(&connection.wire, written_when_complete);
+        let written_when_complete = connection.wire().written() + min_size(&request);
+        progress.start_writing(connection.wire(), written_when_complete);
         self.exchange(connection, request, written_when_complete).await
     }
 
@@ -91,7 +91,7 @@
         let exchange = async {
             let connection = self.pool.acquire(server).await?;
             let request = request.map_err(|_| Outcome::NotSent)?;
-            let written_when_complete = connection.wire.written() + min_size(&request);
+            let written_when_complete = connection.wire().written() + min_size(&request);
             let ended = self.exchange(connection, request, written_when_complete).await;
             ended.ok_or(Outcome::ConnectionReset)
         };
@@ -112,14 +112,14 @@
         request: Request<Full<Bytes>>,
         written_when_complete: u64,
     ) -> Option<AttemptOutcome> {
-        connection.wire.allow_reading(MAX_ANSWER);
-        let response = connection.sender.send_request(request).await.ok()?;
+        connection.wire().allow_reading(MAX_ANSWER);
+        let response = connection.send_request(request).await.ok()?;
         let outcome = outcome_of(&response);
         let load_report = load_report_of(&response, &self.load_report_fields);
         // A server begins with the last byte. What is served before it has come is something else, and who
         // rejects the request must not get the rest of it.
-        if connection.wire.written() < written_when_complete {
-            connection.wire.close_writing();
+        if connection.wire().written() < written_when_complete {
+            connection.wire().close_writing();
             let failed = AttemptOutcome { outcome, load_report, answer: None };
             return (outcome != Outcome::Success).then_some(failed);
         }
@@ -135,15 +135,15 @@
     /// A connection that brings more than the answer is closed by hyper instead of becoming ready. The answer
     /// is good all the same and does not wait for that.
     fn release_when_ready(&self, mut connection: Connection) {
-        if connection.sender.is_ready() {
+        if connection.is_ready() {
             return self.pool.release(connection);
         }
-        if connection.sender.is_closed() {
+        if connection.is_closed() {
             return;
         }
         let pool = self.pool.clone();
         tokio::task::spawn_local(async move {
-            if let Ok(Ok(())) = timeout(SETTLE_TIME, connection.sender.ready()).await {
+            if let Ok(Ok(())) = timeout(SETTLE_TIME, connection.ready()).await {
                 pool.release(connection);
             }
         });
--- a/crates/balancer-agent/src/upstream/client/tests.rs
+++ b/crates/balancer-agent/src/upstream/client/tests.rs
@@ -21,7 +21,7 @@
     let list = serde_json::json!({"seq": 1, "hosts": [
         {"host": "s", "dial": address.to_string(), "health": "up"}]});
     let list = EndpointList::parse(&list).expect("a list");
-    pool.update(SERVER, &list.entries[0]);
+    pool.update_server(SERVER, &list.entries[0]);
     ServerClient::new(pool, Vec::new())
 }
 
--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -1,163 +1,112 @@
-//! The pool of connections to servers, and where each server is reached.
+//! The pool of connections to servers.
+
+mod addresses;
+mod connection;
+mod idle;
+mod server;
+mod slots;
+
+pub use connection::{Connection, SETTLE_TIME};
 
-use super::counted_stream::{CountedStream, WireState};
-use super::MAX_HEAD;
 use crate::endpoint_list::{EndpointEntry, EndpointHealth};
-use crate::http_client::{connect, start_http, ConnectionTask};
+use addresses::ServersByAddress;
 use balancer_core::{Outcome, ServerId};
-use bytes::Bytes;
-use http_body_util::Full;
-use hyper::client::conn::http1::{Builder, SendRequest};
+use connection::{ConnectionTarget, Incarnation};
+use server::PooledServer;
+use slots::{ConnectionSlot, ConnectionSlots};
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
-use std::io;
+use std::collections::hash_map::Entry;
+use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// An idle connection is given up after this share of the server's own limit: one that the server closes
-/// while a request is on its way to it costs that request a reset of which nobody knows whether it ran.
-const IDLE_SHARE: f64 = 0.7;
-/// After a complete answer a connection is ready again at once, or there is something wrong with it; a second
-/// answer may follow some milliseconds later. Until then nothing is sent over it, or that would pass for the
-/// next one's.
-pub const SETTLE_TIME: Duration = Duration::from_millis(5);
+/// An idle connection is closed after this fraction of the server's own limit. If the server closes it first,
+/// while a request is being written to it, that request ends as a reset and may or may not have run.
+const MAX_IDLE_FRACTION: f64 = 0.7;
 
 /// What a pool may hold, and for how long.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLimits {
     /// Most connections at a time.
     pub max_connections: usize,
-    /// A connection that is not open by then has failed.
+    /// A connection that is not open after this time has failed.
     pub connect_timeout: Duration,
     /// Servers close connections that have been idle for this long.
     pub keepalive: Duration,
 }
 
-/// Counts the processes and addresses of servers. Connections to an earlier one are not used for a later one.
-type Incarnation = u64;
-
-/// One open connection; dropping it closes it.
-pub struct Connection {
-    pub sender: SendRequest<Full<Bytes>>,
-    pub wire: Rc<WireState>,
-    _task: ConnectionTask,
-    server: ServerId,
-    incarnation: Incarnation,
-    idle_since: Instant,
-    _slot: ConnectionSlot,
-}
-
-impl Connection {
-    fn has_settled(&self) -> bool {
-        self.idle_since.elapsed() >= SETTLE_TIME
-    }
-}
-
-/// A counted place among the connections that the process may hold; dropping it frees the place.
-struct ConnectionSlot {
-    open_connections: Rc<Cell<usize>>,
-}
-
-impl Drop for ConnectionSlot {
-    fn drop(&mut self) {
-        self.open_connections.set(self.open_connections.get() - 1);
-    }
-}
-
-/// A server as the endpoint list last described it.
-struct PooledServer {
-    address: Option<SocketAddr>,
-    started_at_ms: f64,
-    incarnation: Incarnation,
-    is_up: bool,
-    idle: Vec<Connection>,
-}
-
-impl PooledServer {
-    fn start_incarnation(&mut self, incarnation: Incarnation) {
-        self.incarnation = incarnation;
-        self.idle.clear();
-    }
-}
-
-/// Where a request may be sent at once, or what it takes to get there.
+/// The result of looking for an idle connection.
 enum Acquired {
+    /// An idle connection, ready for a request.
     Connection(Connection),
-    /// Idle connections settle then.
+    /// There are idle connections, and the first has settled at this time.
     SettlesAt(Instant),
-    MustConnect {
-        address: SocketAddr,
-        incarnation: Incarnation,
-    },
+    /// There is none, and a new one must lead there.
+    MustConnect(ConnectionTarget),
 }
 
 /// All servers and the connections to them.
 pub struct ConnectionPool {
-    limits: PoolLimits,
+    connect_timeout: Duration,
+    max_idle_time: Duration,
+    slots: ConnectionSlots,
     servers: RefCell<HashMap<ServerId, PooledServer>>,
-    /// The last incarnation that was given; no two processes share one, or a connection to an earlier one
-    /// could be taken for the later one's.
-    last_incarnation: Cell<Incarnation>,
-    /// Who was last named at an address.
-    servers_by_address: RefCell<HashMap<SocketAddr, ServerId>>,
-    open_connections: Rc<Cell<usize>>,
+    servers_by_address: RefCell<ServersByAddress>,
+    /// Numbers incarnations across all servers: no two processes share one, even where a server takes another
+    /// one's address.
+    last_incarnation: Cell<u64>,
 }
 
 impl ConnectionPool {
     /// A pool that knows no server yet.
     pub fn new(limits: PoolLimits) -> Rc<Self> {
         Rc::new(ConnectionPool {
-            limits,
+            connect_timeout: limits.connect_timeout,
+            max_idle_time: limits.keepalive.mul_f64(MAX_IDLE_FRACTION),
+            slots: ConnectionSlots::new(limits.max_connections),
             servers: RefCell::default(),
-            last_incarnation: Cell::new(0),
             servers_by_address: RefCell::default(),
-            open_connections: Rc::default(),
+            last_incarnation: Cell::new(0),
         })
     }
 
-    /// Takes in an entry of the endpoint list. A new address or a new process means new connections; a server
-    /// that drains keeps none that are idle, and one that was removed is forgotten. What is in flight goes
-    /// on.
-    pub fn update(&self, server: ServerId, entry: &EndpointEntry) {
+    /// Whether the endpoint list names a server that accepts new work.
+    pub fn has_server(&self) -> bool {
+        self.servers.borrow().values().any(PooledServer::is_up)
+    }
+
+    /// Applies an entry of the endpoint list. A new address or a new process closes the server's idle
+    /// connections, and so does draining; a removed server is forgotten. Exchanges in flight go on.
+    pub fn update_server(&self, server: ServerId, entry: &EndpointEntry) {
         if entry.health == EndpointHealth::Removed {
-            return self.forget(server);
-        }
-        let is_up = entry.health == EndpointHealth::Up;
-        if let Some(address) = entry.address.filter(|_| is_up) {
-            self.take_over_address(server, address);
-        }
-        let mut servers = self.servers.borrow_mut();
-        let is_new = !servers.contains_key(&server);
-        let pooled = servers.entry(server).or_insert_with(|| PooledServer {
-            address: entry.address,
-            started_at_ms: entry.started_at_ms,
-            incarnation: 0,
-            is_up: true,
-            idle: Vec::new(),
-        });
-        let new_address = entry.address.filter(|address| pooled.address != Some(*address));
-        if is_new || new_address.is_some() || entry.started_at_ms != pooled.started_at_ms {
-            pooled.start_incarnation(self.next_incarnation());
-            pooled.started_at_ms = entry.started_at_ms;
+            self.remove_server(server);
+            return;
         }
-        if let Some(left) = new_address.and(pooled.address) {
-            self.vacate(left, server);
+        let address_in_use = entry.address.filter(|_| entry.health == EndpointHealth::Up);
+        if let Some(address) = address_in_use {
+            self.assign_address(address, server);
         }
-        pooled.address = new_address.or(pooled.address);
-        pooled.is_up = is_up;
-        if !is_up {
-            pooled.idle.clear();
+        let next_incarnation = self.next_incarnation();
+        match self.servers.borrow_mut().entry(server) {
+            Entry::Vacant(vacant) => {
+                vacant.insert(PooledServer::new(server, entry, next_incarnation));
+            }
+            Entry::Occupied(mut pooled) => {
+                if let Some(left_address) = pooled.get_mut().update(entry, next_incarnation) {
+                    self.servers_by_address.borrow_mut().unassign(left_address, server);
+                }
+            }
         }
     }
 
-    /// Whoever was at the address has gone, announced or not: no connection to it may reach for the newcomer.
-    fn take_over_address(&self, server: ServerId, address: SocketAddr) {
-        let previous = self.servers_by_address.borrow_mut().insert(address, server);
+    /// Assigns an address to a server. The process of another server that was there has ended, whether or not
+    /// the endpoint list said so: its connections must not be used for that server any more.
+    fn assign_address(&self, address: SocketAddr, server: ServerId) {
+        let previous = self.servers_by_address.borrow_mut().assign(address, server);
         let mut servers = self.servers.borrow_mut();
-        let previous = previous.filter(|previous| *previous != server);
         if let Some(previous) = previous.and_then(|previous| servers.get_mut(&previous)) {
             previous.start_incarnation(self.next_incarnation());
         }
@@ -165,104 +114,80 @@
 
     fn next_incarnation(&self) -> Incarnation {
         self.last_incarnation.set(self.last_incarnation.get() + 1);
-        self.last_incarnation.get()
+        Incarnation(self.last_incarnation.get())
     }
 
-    fn vacate(&self, address: SocketAddr, server: ServerId) {
-        let mut servers_by_address = self.servers_by_address.borrow_mut();
-        if servers_by_address.get(&address) == Some(&server) {
-            servers_by_address.remove(&address);
+    fn remove_server(&self, server: ServerId) {
+        let removed = self.servers.borrow_mut().remove(&server);
+        if let Some(address) = removed.and_then(|pooled| pooled.address()) {
+            self.servers_by_address.borrow_mut().unassign(address, server);
         }
     }
 
-    fn forget(&self, server: ServerId) {
-        let forgotten = self.servers.borrow_mut().remove(&server);
-        if let Some(address) = forgotten.and_then(|pooled| pooled.address) {
-            self.vacate(address, server);
-        }
-    }
-
-    /// Forgets the servers that a complete list no longer names.
-    pub fn retain(&self, is_named: impl Fn(ServerId) -> bool) {
-        let unnamed = |server: &ServerId| !is_named(*server);
-        let removed: Vec<ServerId> = self.servers.borrow().keys().copied().filter(unnamed).collect();
-        for server in removed {
-            self.forget(server);
+    /// Forgets the servers that a complete endpoint list does not name.
+    pub fn remove_unlisted_servers(&self, listed: &HashSet<ServerId>) {
+        let servers: Vec<ServerId> = self.servers.borrow().keys().copied().collect();
+        for server in servers {
+            if !listed.contains(&server) {
+                self.remove_server(server);
+            }
         }
     }
 
     /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: ServerId) {
         if let Some(pooled) = self.servers.borrow_mut().get_mut(&server) {
-            pooled.idle.clear();
+            pooled.idle_mut().close_all();
         }
     }
 
     /// Closes the connections that have been idle for too long.
     pub fn close_stale(&self) {
         for pooled in self.servers.borrow_mut().values_mut() {
-            pooled.idle.retain(|connection| !self.is_stale(connection) && !connection.sender.is_closed());
+            pooled.idle_mut().close_stale(self.max_idle_time);
         }
     }
 
-    fn is_stale(&self, connection: &Connection) -> bool {
-        connection.idle_since.elapsed() >= self.limits.keepalive.mul_f64(IDLE_SHARE)
-    }
-
-    /// The most recently used connection that still stands and has settled, or a new one.
+    /// Returns the most recently used connection that is ready and has settled, or opens a new one.
     ///
     /// # Errors
     ///
-    /// `NotSent` if this process lacks a connection slot or an address, which is no fault of the server's;
-    /// `ConnectFailed` if no connection could be made in time.
+    /// `NotSent` if this process lacks a connection slot or the server's address, or the server accepts no new
+    /// work, none of which is the server's failure; `ConnectFailed` if no connection could be opened in time.
     pub async fn acquire(self: &Rc<Self>, server: ServerId) -> Result<Connection, Outcome> {
         loop {
             match self.try_acquire(server)? {
                 Acquired::Connection(connection) => return Ok(connection),
-                Acquired::SettlesAt(settled) => sleep_until(settled).await,
-                Acquired::MustConnect { address, incarnation } => {
-                    return self.connect(server, address, incarnation).await;
-                }
+                Acquired::SettlesAt(settled_at) => sleep_until(settled_at).await,
+                Acquired::MustConnect(target) => return self.connect(target).await,
             }
         }
     }
 
     fn try_acquire(&self, server: ServerId) -> Result<Acquired, Outcome> {
         let mut servers = self.servers.borrow_mut();
-        let pooled = servers.get_mut(&server).filter(|pooled| pooled.is_up).ok_or(Outcome::NotSent)?;
-        pooled.idle.retain(|connection| !self.is_stale(connection) && connection.sender.is_ready());
-        if let Some(settled) = pooled.idle.iter().rposition(Connection::has_settled) {
-            return Ok(Acquired::Connection(pooled.idle.remove(settled)));
+        let pooled = servers.get_mut(&server).filter(|pooled| pooled.is_up()).ok_or(Outcome::NotSent)?;
+        let idle = pooled.idle_mut();
+        idle.close_unusable(self.max_idle_time);
+        if let Some(connection) = idle.pop_settled() {
+            return Ok(Acquired::Connection(connection));
         }
-        if let Some(first) = pooled.idle.first() {
-            return Ok(Acquired::SettlesAt(first.idle_since + SETTLE_TIME));
+        if let Some(settled_at) = idle.next_settled_at() {
+            return Ok(Acquired::SettlesAt(settled_at));
         }
-        let address = pooled.address.ok_or(Outcome::NotSent)?;
-        Ok(Acquired::MustConnect { address, incarnation: pooled.incarnation })
+        let target = pooled.target().ok_or(Outcome::NotSent)?;
+        Ok(Acquired::MustConnect(target))
     }
 
-    /// Opens a connection in a task of its own: when its attempt is given up meanwhile, the connection, which
-    /// has cost the server work by then, serves the next one.
-    async fn connect(
-        self: &Rc<Self>,
-        server: ServerId,
-        address: SocketAddr,
-        incarnation: Incarnation,
-    ) -> Result<Connection, Outcome> {
-        let slot = self.take_slot().ok_or(Outcome::NotSent)?;
+    /// Opens a connection in a task of its own. If its attempt is cancelled meanwhile, the connection is kept
+    /// for the next one: opening it has cost the server work.
+    async fn connect(self: &Rc<Self>, target: ConnectionTarget) -> Result<Connection, Outcome> {
+        let slot = self.reserve_slot().ok_or(Outcome::NotSent)?;
         let (sender, receiver) = oneshot::channel();
         let pool = self.clone();
         tokio::task::spawn_local(async move {
-            let opened = timeout(pool.limits.connect_timeout, open(address)).await.ok().and_then(Result::ok);
-            let connection = opened.map(|opened| Connection {
-                sender: opened.sender,
-                wire: opened.wire,
-                _task: opened.task,
-                server,
-                incarnation,
-                idle_since: Instant::now(),
-                _slot: slot,
-            });
+            let opened = timeout(pool.connect_timeout, Connection::open(target, slot)).await;
+            let connection = opened.ok().and_then(Result::ok);
             if let Err(Some(unclaimed)) = sender.send(connection) {
                 pool.release(unclaimed);
             }
@@ -270,50 +195,41 @@
         receiver.await.ok().flatten().ok_or(Outcome::ConnectFailed)
     }
 
-    /// A slot for one more connection; an idle one of another server gives way if all are taken.
-    fn take_slot(&self) -> Option<ConnectionSlot> {
-        if self.open_connections.get() >= self.limits.max_connections {
-            let mut servers = self.servers.borrow_mut();
-            let with_idle = servers.values_mut().filter(|pooled| !pooled.idle.is_empty());
-            let oldest = with_idle.min_by_key(|pooled| pooled.idle[0].idle_since);
-            oldest?.idle.remove(0);
+    /// Reserves a slot for one more connection. If all are in use, the connection that has been idle for
+    /// longest is closed for it; `None` if no connection is idle.
+    fn reserve_slot(&self) -> Option<ConnectionSlot> {
+        if self.slots.is_exhausted() && !self.close_least_recently_used() {
+            return None;
         }
-        self.open_connections.set(self.open_connections.get() + 1);
-        Some(ConnectionSlot { open_connections: self.open_connections.clone() })
+        Some(self.slots.reserve())
     }
 
-    /// Whether the server still takes new work, and is the one that the connection leads to.
+    /// Closes the connection that has been idle for longest; false if no connection is idle.
+    fn close_least_recently_used(&self) -> bool {
+        let mut servers = self.servers.borrow_mut();
+        let with_idle = servers.values_mut().filter(|pooled| pooled.idle().oldest_idle_since().is_some());
+        let oldest = with_idle.min_by_key(|pooled| pooled.idle().oldest_idle_since());
+        if let Some(pooled) = oldest {
+            pooled.idle_mut().close_oldest();
+            return true;
+        }
+        false
+    }
+
+    /// Whether the server accepts new work, and the connection leads to its present incarnation.
     pub fn is_current(&self, connection: &Connection) -> bool {
         let servers = self.servers.borrow();
-        let pooled = servers.get(&connection.server);
-        pooled.is_some_and(|pooled| pooled.is_up && pooled.incarnation == connection.incarnation)
+        servers.get(&connection.server()).is_some_and(|pooled| pooled.is_current(connection))
     }
 
-    /// Keeps a connection that carries nothing for the next request, or closes it.
-    pub fn release(&self, mut connection: Connection) {
-        if !self.is_current(&connection) || connection.sender.is_closed() {
+    /// Keeps a connection that carries no exchange for the next request. It is closed instead if it no longer
+    /// leads to the server's present incarnation.
+    pub fn release(&self, connection: Connection) {
+        if !self.is_current(&connection) || connection.is_closed() {
             return;
         }
-        if let Some(pooled) = self.servers.borrow_mut().get_mut(&connection.server) {
-            connection.idle_since = Instant::now();
-            connection.wire.set_write_by(None);
-            pooled.idle.push(connection);
+        if let Some(pooled) = self.servers.borrow_mut().get_mut(&connection.server()) {
+            pooled.idle_mut().push(connection);
         }
     }
 }
-
-struct OpenedConnection {
-    sender: SendRequest<Full<Bytes>>,
-    task: ConnectionTask,
-    wire: Rc<WireState>,
-}
-
-async fn open(address: SocketAddr) -> io::Result<OpenedConnection> {
-    let stream = connect(address).await?;
-    let wire = Rc::<WireState>::default();
-    let mut builder = Builder::new();
-    builder.max_buf_size(MAX_HEAD).max_header_size(MAX_HEAD);
-    let socket = CountedStream::new(stream, wire.clone());
-    let (sender, task) = start_http(&builder, socket).await.map_err(io::Error::other)?;
-    Ok(OpenedConnection { sender, task, wire })
-}
