--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -40,29 +40,37 @@
     Failed,
 }
 
-/// The connection to discovery; at most one watch at a time.
+/// The discovery service, and at most one watch of its endpoint list.
 pub struct Discovery {
     address: SocketAddr,
+    /// The version of the last list; `None` if this service has sent none, as each counts its own versions.
+    list_version: Option<u64>,
     watch: Option<JoinHandle<()>>,
 }
 
 impl Discovery {
-    /// Knows where discovery is; calls nobody yet.
+    /// A discovery service that is not watched yet.
     pub fn new(address: SocketAddr) -> Self {
-        Discovery { address, watch: None }
+        Discovery { address, list_version: None, watch: None }
     }
 
-    /// Discovery has moved: the watch at the old address ends, and its connection with it.
+    /// Changes the service's address. The watch at the old address ends, and its connection is closed.
     pub fn relocate(&mut self, address: SocketAddr) {
         self.address = address;
+        self.list_version = None;
         self.stop_watch();
     }
 
-    /// Begins a watch for what is newer than `version`, in place of the one there may be. Without a version
-    /// it begins with the complete list.
-    pub fn watch(&mut self, listener: Rc<impl WatchListener + 'static>, version: Option<u64>) {
+    /// Records the version of the last list, from which the next watch continues.
+    pub fn record_version(&mut self, version: u64) {
+        self.list_version = Some(version);
+    }
+
+    /// Begins a watch for changes after the last recorded version, in place of the present watch, if any.
+    /// Without a recorded version it begins with the complete list.
+    pub fn watch(&mut self, listener: Rc<impl WatchListener + 'static>) {
         self.stop_watch();
-        self.watch = Some(tokio::task::spawn_local(watch(self.address, listener, version)));
+        self.watch = Some(tokio::task::spawn_local(watch(self.address, listener, self.list_version)));
     }
 
     fn stop_watch(&mut self) {
--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -1,67 +1,67 @@
-//! The one owner of the [`Balancer`]: hands it what happens on the sockets, and carries out what it decides.
+//! The driver owns the [`Balancer`]: it queues what happens on the sockets as events, and carries out the
+//! actions that the balancer returns.
 //!
-//! Nothing is decided here. Everything runs on one thread, so an event is handled, and its actions are
-//! carried out, before anything else happens; an action never calls back into the balancer, its results are
-//! queued as events.
+//! It decides nothing itself. All of it runs on one thread, so an event is handled and its actions are carried
+//! out before anything else happens. An action never calls back into the balancer: its results are queued as
+//! events.
 
+mod endpoint_watch;
+mod event_queue;
 mod outgoing;
 mod requests;
-mod servers;
 mod timers;
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::discovery::{Discovery, WatchEvent, WatchListener};
+use crate::discovery::{WatchEvent, WatchListener};
 use crate::endpoint_list::EndpointList;
-use crate::request::{ClientRequest, FinalAnswer};
-use crate::upstream::{AttemptOutcome, AttemptProgress, ConnectionPool, PoolLimits, ServerClient};
+use crate::request::{ClientRequest, SubmittedRequest};
+use crate::upstream::{AttemptOutcome, ConnectionPool, PoolLimits, ServerClient};
 use balancer_core::{
-    Action, Balancer, ClassId, Effect, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId,
-    ServerId, SettingsError, Span, Time,
+    Action, Balancer, ClassId, Effect, Endpoint, EndpointUpdate, Event, RequestId, ServerId, SettingsError,
+    Span,
 };
 use balancer_settings::HostSettings;
-use hyper::StatusCode;
+use endpoint_watch::EndpointWatch;
+use event_queue::EventQueue;
 use outgoing::outgoing_request;
-use requests::{AttemptKey, RequestTable};
-use servers::ServerDirectory;
+use requests::{AttemptId, RequestTracker};
 use std::cell::RefCell;
-use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use timers::TimerQueue;
-use tokio::sync::{oneshot, Notify};
-use tokio::time::{sleep_until, Instant};
+use timers::Timers;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
 
-/// Connections that have been idle for too long are closed this often.
+/// How often connections that have been idle for too long are closed.
 const CLOSE_STALE_INTERVAL: Duration = Duration::from_millis(500);
 
-struct State {
-    balancer: Balancer,
-    /// Events that the balancer has not been handed yet.
-    events: VecDeque<Event>,
-    timers: TimerQueue,
-    requests: RequestTable,
-    servers: ServerDirectory,
-    discovery: Discovery,
-    /// The version of the endpoint list; none after discovery has moved, for versions are each service's own.
-    list_version: Option<u64>,
-}
-
 /// Drives the balancer.
 pub struct Driver {
     clock: Clock,
     host_settings: HostSettings,
     /// The effect of each class.
     effects: Vec<Effect>,
+    events: RefCell<EventQueue>,
+    timers: Timers,
+    requests: RefCell<RequestTracker>,
+    endpoint_watch: RefCell<EndpointWatch>,
     client: ServerClient,
-    state: RefCell<State>,
-    timer_changed: Notify,
+}
+
+/// When an attempt is given up.
+#[derive(Clone, Copy)]
+struct AttemptDeadlines {
+    /// The attempt times out then.
+    timeout_at: Instant,
+    /// Its last byte must be written by then.
+    write_by: Option<Instant>,
 }
 
 impl Driver {
-    /// A driver that has the endpoint list that the configuration caches, and may hold so many connections to
-    /// servers.
+    /// Starts a driver with the configuration's cached endpoint list. It opens at most `max_connections`
+    /// connections to servers.
     ///
     /// # Errors
     ///
@@ -76,97 +76,69 @@
         });
         let effects = config.settings.classes.iter().map(|class| class.effect).collect();
         let mut balancer = Balancer::new(config.settings, config.seed)?;
-        let mut actions = Vec::new();
-        balancer.start(clock.now(), &mut actions);
+        let mut start_actions = Vec::new();
+        balancer.start(clock.now(), &mut start_actions);
         let driver = Rc::new(Driver {
             clock,
             effects,
+            events: RefCell::new(EventQueue::new(balancer)),
+            timers: Timers::default(),
+            requests: RefCell::default(),
+            endpoint_watch: RefCell::new(EndpointWatch::new(config.discovery)),
             client: ServerClient::new(pool, host_settings.load_report_fields.clone()),
             host_settings,
-            state: RefCell::new(State {
-                balancer,
-                events: VecDeque::new(),
-                timers: TimerQueue::default(),
-                requests: RequestTable::default(),
-                servers: ServerDirectory::default(),
-                discovery: Discovery::new(config.discovery),
-                list_version: None,
-            }),
-            timer_changed: Notify::new(),
         });
-        driver.start_with(&config.cached_endpoints, actions);
-        Ok(driver)
-    }
-
-    fn start_with(self: &Rc<Self>, cached_endpoints: &EndpointList, actions: Vec<Action>) {
-        let mut state = self.state.borrow_mut();
-        let endpoints = self.update_servers(&mut state, cached_endpoints);
-        state.events.push_back(Event::Endpoints(EndpointUpdate::Cached(endpoints)));
-        for action in actions {
-            self.carry_out(&mut state, action);
+        let endpoints = driver.update_servers(&config.cached_endpoints);
+        for action in start_actions {
+            driver.carry_out(action);
         }
-        drop(state);
-        self.handle_events();
+        driver.handle_event(Event::Endpoints(EndpointUpdate::Cached(endpoints)));
+        Ok(driver)
     }
 
-    /// Names and limits of the settings that only sockets need.
+    /// The settings that the balancer does not need: names, and limits of sockets.
     pub fn host_settings(&self) -> &HostSettings {
         &self.host_settings
     }
 
-    /// What repeating a request of a class would do.
+    /// The effect of running a request of a class more than once.
     pub fn effect_of(&self, class: ClassId) -> Effect {
         self.effects[class.0]
     }
 
-    /// Whether there is a server to send to.
+    /// Whether there is a server that accepts new work.
     pub fn is_ready(&self) -> bool {
         self.client.pool().has_server()
     }
 
-    /// Hands a request to the balancer; its answer comes over the channel.
-    pub fn submit(self: &Rc<Self>, request: ClientRequest) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
-        let mut arrival = Request {
-            id: RequestId(0),
-            class: request.class,
-            tenant: request.tenant,
-            routing_key: request.routing_key,
-            cost_hint: request.cost_hint,
-            is_client_retry: request.is_client_retry,
-            time_left: self.clock.time_of(request.deadline).since(self.clock.now()),
-        };
-        let (id, answer) = self.state.borrow_mut().requests.open(request);
-        arrival.id = id;
-        self.handle_event(Event::Request(arrival));
-        (id, answer)
+    /// Submits a request to the balancer.
+    pub fn submit(self: &Rc<Self>, request: ClientRequest) -> SubmittedRequest {
+        let request = Rc::new(request);
+        let time_left = self.clock.time_of(request.deadline).since(self.clock.now());
+        let submitted = self.requests.borrow_mut().open(request.clone());
+        self.handle_event(Event::Request(request.for_balancer(submitted.id, time_left)));
+        submitted
     }
 
-    /// The client no longer waits, or must not wait longer.
+    /// Closes a request whose client has disconnected or is not kept waiting any longer.
     pub fn disconnect(self: &Rc<Self>, request: RequestId) {
-        let was_open = self.state.borrow_mut().requests.disconnect(request);
-        if was_open {
+        let was_pending = self.requests.borrow_mut().disconnect(request);
+        if was_pending {
             self.handle_event(Event::ClientDisconnected { request });
         }
     }
 
-    /// Discovery has moved: the new one is watched from its complete list on. What is known stands until that
-    /// comes.
+    /// Watches the endpoint list at another address from now on, beginning with the complete list. The servers
+    /// that are known stay in use until that list arrives.
     pub fn relocate_discovery(self: &Rc<Self>, address: SocketAddr) {
-        let mut state = self.state.borrow_mut();
-        state.list_version = None;
-        state.discovery.relocate(address);
-        state.discovery.watch(self.clone(), None);
+        self.endpoint_watch.borrow_mut().relocate(address, self.clone());
     }
 
     /// Wakes the balancer when a timer is due, and closes stale connections; never ends.
     pub async fn run(self: Rc<Self>) {
         let mut next_close = Instant::now() + CLOSE_STALE_INTERVAL;
         loop {
-            let next_timer = self.state.borrow().timers.next_due().map(|at| self.clock.instant_of(at));
-            tokio::select! {
-                () = sleep_until(next_timer.map_or(next_close, |at| at.min(next_close))) => {}
-                () = self.timer_changed.notified() => {}
-            }
+            self.timers.wait(&self.clock, next_close).await;
             self.queue_due_timers();
             self.handle_events();
             if Instant::now() >= next_close {
@@ -178,97 +150,75 @@
 
     fn queue_due_timers(&self) {
         let now = self.clock.now();
-        let mut state = self.state.borrow_mut();
-        while let Some(timer) = state.timers.take_due(now) {
-            state.events.push_back(Event::TimerDue(timer));
+        let mut events = self.events.borrow_mut();
+        while let Some(timer) = self.timers.pop_due(now) {
+            events.push(Event::TimerDue(timer));
         }
     }
 
     fn handle_event(self: &Rc<Self>, event: Event) {
-        self.state.borrow_mut().events.push_back(event);
+        self.events.borrow_mut().push(event);
         self.handle_events();
     }
 
-    /// Hands the queued events to the balancer, in order, and carries out what it decides.
+    /// Has the balancer handle the queued events in order, and carries out what it decides on each before the
+    /// next.
     fn handle_events(self: &Rc<Self>) {
-        let mut state = self.state.borrow_mut();
         let mut actions = Vec::new();
-        while let Some(event) = state.events.pop_front() {
-            state.balancer.handle(self.clock.now(), event, &mut actions);
+        while self.events.borrow_mut().handle_next(self.clock.now(), &mut actions) {
             for action in actions.drain(..) {
-                self.carry_out(&mut state, action);
+                self.carry_out(action);
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn carry_out(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { request, server, timeout_at, write_by } => {
-                self.send(state, request, server, timeout_at, write_by);
+                let deadlines = AttemptDeadlines {
+                    timeout_at: self.clock.instant_of(timeout_at),
+                    write_by: write_by.map(|write_by| self.clock.instant_of(write_by)),
+                };
+                self.send(request, server, deadlines);
             }
             Action::Cancel { request, attempt } => {
-                state.requests.cancel_attempt(AttemptKey { request, attempt });
+                self.requests.borrow().cancel_attempt(AttemptId { request, attempt });
             }
             Action::Reject { request, retry_after } => {
-                state.requests.answer(request, FinalAnswer::Rejected { retry_after });
-            }
-            Action::Fail { request } => {
-                let has_timed_out = state.requests.has_timed_out(request);
-                let status =
-                    if has_timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-                state.requests.answer(request, FinalAnswer::Failed(status));
-            }
-            Action::SetTimer { at, timer } => {
-                if state.timers.set(at, timer) {
-                    self.timer_changed.notify_one();
-                }
+                self.requests.borrow_mut().reject(request, retry_after);
             }
+            Action::Fail { request } => self.requests.borrow_mut().fail(request),
+            Action::SetTimer { at, timer } => self.timers.set(at, timer),
             Action::CheckHealth { server } => self.check_health(server),
             Action::CloseIdle { server } => self.client.pool().close_idle(server),
-            Action::WatchEndpoints => {
-                let version = state.list_version;
-                state.discovery.watch(self.clone(), version);
-            }
+            Action::WatchEndpoints => self.endpoint_watch.borrow_mut().start(self.clone()),
             // Agents of this deployment have no way to talk to each other, and the settings say so.
             Action::Gossip { .. } => {}
             Action::Log { text } => eprintln!("{text}"),
         }
     }
 
-    fn send(
-        self: &Rc<Self>,
-        state: &mut State,
-        request: RequestId,
-        server: ServerId,
-        timeout_at: Time,
-        write_by: Option<Time>,
-    ) {
-        let write_by = write_by.map(|write_by| self.clock.instant_of(write_by));
-        let attempt = state.requests.start_attempt(request, || AttemptProgress::new(write_by));
-        let Some(attempt) = attempt else { return };
+    /// Sends an attempt in a task of its own.
+    fn send(self: &Rc<Self>, request: RequestId, server: ServerId, deadlines: AttemptDeadlines) {
+        let AttemptDeadlines { timeout_at, write_by } = deadlines;
+        let Some(attempt) = self.requests.borrow_mut().start_attempt(request, write_by) else { return };
         let sent_at = Instant::now();
-        let deadline = self.clock.instant_of(timeout_at);
-        let outgoing = outgoing_request(&attempt.request, deadline.saturating_duration_since(sent_at));
+        let wait = timeout_at.saturating_duration_since(sent_at);
+        let outgoing = outgoing_request(&attempt.request, wait);
         let driver = self.clone();
-        tokio::task::spawn_local(async move {
-            let ended = driver.client.attempt(server, outgoing, deadline, &attempt.progress).await;
-            driver.end_attempt(attempt.key, ended, sent_at);
+        spawn_local(async move {
+            let ended = driver.client.send_attempt(server, outgoing, timeout_at, &attempt.progress).await;
+            driver.end_attempt(attempt.id, ended, elapsed_since(sent_at));
         });
     }
 
-    /// An attempt is over: the first that is served answers its request.
-    fn end_attempt(self: &Rc<Self>, key: AttemptKey, ended: AttemptOutcome, sent_at: Instant) {
-        let elapsed = elapsed_since(sent_at);
-        let mut state = self.state.borrow_mut();
-        state.requests.end_attempt(key, ended.outcome == Outcome::TimedOut);
-        if let Some(answer) = ended.answer {
-            state.requests.answer(key.request, FinalAnswer::Served(answer));
-        }
-        let is_request_finished = !state.requests.is_open(key.request);
-        drop(state);
+    /// Records the end of an attempt and hands it to the balancer.
+    fn end_attempt(self: &Rc<Self>, id: AttemptId, ended: AttemptOutcome, elapsed: Span) {
+        self.requests.borrow_mut().end_attempt(id, ended.outcome, ended.answer);
+        let is_request_finished = !self.requests.borrow().is_pending(id.request);
         self.handle_event(Event::AttemptEnded {
-            request: key.request,
-            attempt: key.attempt,
+            request: id.request,
+            attempt: id.attempt,
             outcome: ended.outcome,
             elapsed,
             load_report: ended.load_report,
@@ -276,39 +226,34 @@
         });
     }
 
+    /// Checks a server's health in a task of its own.
     fn check_health(self: &Rc<Self>, server: ServerId) {
         let driver = self.clone();
-        tokio::task::spawn_local(async move {
+        spawn_local(async move {
             let sent_at = Instant::now();
-            let AttemptOutcome { outcome, load_report, .. } = driver.client.check_health(server).await;
-            let elapsed = elapsed_since(sent_at);
-            driver.handle_event(Event::HealthChecked { server, outcome, elapsed, load_report });
+            let checked = driver.client.check_health(server).await;
+            driver.handle_event(Event::HealthChecked {
+                server,
+                outcome: checked.outcome,
+                elapsed: elapsed_since(sent_at),
+                load_report: checked.load_report,
+            });
         });
     }
 
-    /// Takes in where the servers of a list are reached, and returns the list in the balancer's terms.
-    fn update_servers(&self, state: &mut State, list: &EndpointList) -> Vec<Endpoint> {
-        state.list_version = Some(list.version);
-        let endpoints = state.servers.update(list, &self.host_settings);
+    /// Updates where the servers of a list are reached, and returns the list in the balancer's terms.
+    fn update_servers(&self, list: &EndpointList) -> Vec<Endpoint> {
         let pool = self.client.pool();
-        for (endpoint, entry) in endpoints.iter().zip(&list.entries) {
-            pool.update_server(endpoint.server, entry);
-        }
-        if list.is_complete {
-            let named: HashSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
-            pool.remove_unlisted_servers(&named);
-        }
-        endpoints
+        self.endpoint_watch.borrow_mut().update_servers(list, &self.host_settings, pool)
     }
 }
 
 impl WatchListener for Driver {
     fn handle_watch_event(self: Rc<Self>, event: WatchEvent) {
-        let mut state = self.state.borrow_mut();
         let update = match event {
             WatchEvent::Failed => EndpointUpdate::Failed,
             WatchEvent::Endpoints(list) => {
-                let endpoints = self.update_servers(&mut state, &list);
+                let endpoints = self.update_servers(&list);
                 if list.is_complete {
                     EndpointUpdate::Complete(endpoints)
                 } else {
@@ -316,7 +261,6 @@
                 }
             }
         };
-        drop(state);
         self.handle_event(Event::Endpoints(update));
     }
 }
--- a/crates/balancer-agent/src/driver/outgoing.rs
+++ b/crates/balancer-agent/src/driver/outgoing.rs
@@ -1,4 +1,4 @@
-//! What is sent to a server for a client's request.
+//! The request that is sent to a server for a client's request.
 
 use crate::request::ClientRequest;
 use bytes::Bytes;
@@ -7,10 +7,10 @@
 use hyper::{Method, Request};
 use std::time::Duration;
 
-/// The header that states how long the sender waits.
+/// The header that states how long the sender waits for an answer.
 const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
 
-/// The request unchanged, and how long the agent will wait.
+/// The client's request unchanged, with a header that states how long the agent waits for the answer.
 pub fn outgoing_request(request: &ClientRequest, wait: Duration) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
--- a/crates/balancer-agent/src/driver/requests.rs
+++ b/crates/balancer-agent/src/driver/requests.rs
@@ -1,121 +1,99 @@
-//! The requests that are owed an answer, and their attempts.
+//! The requests of clients and their attempts.
 
-use crate::request::{ClientRequest, FinalAnswer};
+mod attempts;
+mod pending;
+
+pub use attempts::AttemptId;
+
+use crate::request::{ClientRequest, FinalAnswer, ServedAnswer, SubmittedRequest};
 use crate::upstream::AttemptProgress;
-use balancer_core::{AttemptNumber, RequestId};
-use std::collections::HashMap;
+use attempts::AttemptsInFlight;
+use balancer_core::{Outcome, RequestId, Span};
+use hyper::StatusCode;
+use pending::PendingRequests;
 use std::rc::Rc;
 use tokio::sync::oneshot;
+use tokio::time::Instant;
 
-/// Names an attempt.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct AttemptKey {
-    /// Its request.
-    pub request: RequestId,
-    /// Its number.
-    pub attempt: AttemptNumber,
-}
-
-/// A request that is owed its answer.
-struct OpenRequest {
-    answer: oneshot::Sender<FinalAnswer>,
-    request: Rc<ClientRequest>,
-    attempts: u32,
-    /// Its last attempt timed out.
-    has_timed_out: bool,
-}
-
-/// An attempt that is about to start.
-pub struct NewAttempt {
-    /// Its name.
-    pub key: AttemptKey,
-    /// What is to be sent.
+/// An attempt that is ready to be sent.
+pub struct StartedAttempt {
+    /// Its identity.
+    pub id: AttemptId,
+    /// The request that is to be sent.
     pub request: Rc<ClientRequest>,
-    /// How far it has come.
+    /// Its progress, which the sending task updates.
     pub progress: Rc<AttemptProgress>,
 }
 
-/// Open requests and the attempts that are in flight.
+/// Gives each request its one final answer, and knows its attempts. When a request closes, its attempts that
+/// are not written completely are cancelled.
 #[derive(Default)]
-pub struct RequestTable {
-    next_id: u64,
-    open: HashMap<RequestId, OpenRequest>,
-    attempts: HashMap<AttemptKey, Rc<AttemptProgress>>,
+pub struct RequestTracker {
+    pending: PendingRequests,
+    attempts: AttemptsInFlight,
 }
 
-impl RequestTable {
-    /// Takes in a request; its answer comes over the channel.
-    pub fn open(&mut self, request: ClientRequest) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
-        let (answer, receiver) = oneshot::channel();
-        let id = RequestId(self.next_id);
-        self.next_id += 1;
-        let request = Rc::new(request);
-        self.open.insert(id, OpenRequest { answer, request, attempts: 0, has_timed_out: false });
-        (id, receiver)
+impl RequestTracker {
+    /// Adds a request.
+    pub fn open(&mut self, request: Rc<ClientRequest>) -> SubmittedRequest {
+        self.pending.open(request)
     }
 
-    /// Whether a request is still owed its answer.
-    pub fn is_open(&self, id: RequestId) -> bool {
-        self.open.contains_key(&id)
+    /// Whether a request's answer is pending.
+    pub fn is_pending(&self, id: RequestId) -> bool {
+        self.pending.contains(id)
     }
 
-    /// Whether a request's last attempt timed out.
-    pub fn has_timed_out(&self, id: RequestId) -> bool {
-        self.open.get(&id).is_some_and(|open| open.has_timed_out)
-    }
-
-    /// Closes a request whose client has gone; false if it was closed already.
+    /// Closes a request whose client has disconnected. Returns false if it was closed already.
     pub fn disconnect(&mut self, id: RequestId) -> bool {
-        let Some(open) = self.open.remove(&id) else { return false };
-        self.cancel_unwritten(id, open.attempts);
-        true
+        self.close(id).is_some()
     }
 
-    /// Gives a request its final answer.
-    pub fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
-        let Some(open) = self.open.remove(&id) else { return };
-        self.cancel_unwritten(id, open.attempts);
-        // A client that left at this very moment hears nothing.
-        let _ = open.answer.send(answer);
+    /// Answers a request with a rejection.
+    pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>) {
+        self.answer(id, FinalAnswer::Rejected { retry_after });
     }
 
-    /// Of a closed request, what has not been written to a server stays unwritten. Attempts that are out
-    /// completely go on, and their outcomes still count.
-    fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
-        for attempt in (0..attempts).map(AttemptNumber) {
-            let progress = self.attempts.get(&AttemptKey { request, attempt });
-            if let Some(progress) = progress.filter(|progress| !progress.may_have_run()) {
-                progress.cancel();
-            }
-        }
+    /// Answers a request with a failure. The status tells whether its last attempt timed out.
+    pub fn fail(&mut self, id: RequestId) {
+        let has_timed_out = self.pending.last_attempt_timed_out(id);
+        let status = if has_timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
+        self.answer(id, FinalAnswer::Failed(status));
     }
 
-    /// Starts the next attempt of a request, if it is open; `progress` is made only then.
-    pub fn start_attempt(
-        &mut self,
-        id: RequestId,
-        progress: impl FnOnce() -> AttemptProgress,
-    ) -> Option<NewAttempt> {
-        let open = self.open.get_mut(&id)?;
-        let key = AttemptKey { request: id, attempt: AttemptNumber(open.attempts) };
-        open.attempts += 1;
-        let progress = Rc::new(progress());
-        self.attempts.insert(key, progress.clone());
-        Some(NewAttempt { key, request: open.request.clone(), progress })
+    /// Starts the next attempt of a request, whose last byte must be written by `write_by` if that is set.
+    /// Returns `None` if the request is closed.
+    pub fn start_attempt(&mut self, id: RequestId, write_by: Option<Instant>) -> Option<StartedAttempt> {
+        let next = self.pending.next_attempt(id)?;
+        let progress = self.attempts.start(next.id, write_by);
+        Some(StartedAttempt { id: next.id, request: next.request, progress })
     }
 
     /// Cancels an attempt, if it is in flight.
-    pub fn cancel_attempt(&self, key: AttemptKey) {
-        if let Some(progress) = self.attempts.get(&key) {
-            progress.cancel();
+    pub fn cancel_attempt(&self, id: AttemptId) {
+        self.attempts.cancel(id);
+    }
+
+    /// Records the end of an attempt. The first answer that a server gives is the request's answer.
+    pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, answer: Option<ServedAnswer>) {
+        self.attempts.end(id);
+        self.pending.record_attempt_outcome(id.request, outcome);
+        if let Some(answer) = answer {
+            self.answer(id.request, FinalAnswer::Served(answer));
         }
     }
 
-    /// An attempt is over.
-    pub fn end_attempt(&mut self, key: AttemptKey, has_timed_out: bool) {
-        self.attempts.remove(&key);
-        if let Some(open) = self.open.get_mut(&key.request) {
-            open.has_timed_out = has_timed_out;
+    fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
+        if let Some(receiver) = self.close(id) {
+            // If the client has just disconnected, nobody receives the answer.
+            let _ = receiver.send(answer);
         }
     }
+
+    /// Removes a request and returns where its answer is to be sent; `None` if it was closed already.
+    fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalAnswer>> {
+        let closed = self.pending.remove(id)?;
+        self.attempts.cancel_unwritten(id, closed.attempts_started);
+        Some(closed.answer)
+    }
 }
--- /dev/null
+++ b/crates/balancer-agent/src/driver/requests/pending.rs
@@ -0,0 +1,82 @@
+//! The requests whose answers are pending.
+
+use super::attempts::AttemptId;
+use crate::request::{ClientRequest, FinalAnswer, SubmittedRequest};
+use balancer_core::{AttemptNumber, Outcome, RequestId};
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// A request whose answer is pending.
+struct PendingRequest {
+    request: Rc<ClientRequest>,
+    answer: oneshot::Sender<FinalAnswer>,
+    attempts_started: u32,
+    last_attempt_timed_out: bool,
+}
+
+/// A request that is no longer pending.
+pub struct ClosedRequest {
+    /// Where its answer is to be sent.
+    pub answer: oneshot::Sender<FinalAnswer>,
+    /// The number of attempts that were started for it.
+    pub attempts_started: u32,
+}
+
+/// An attempt that is about to be sent.
+pub struct NextAttempt {
+    /// Its identity.
+    pub id: AttemptId,
+    /// Its request.
+    pub request: Rc<ClientRequest>,
+}
+
+/// The requests whose answers are pending.
+#[derive(Default)]
+pub struct PendingRequests {
+    next_id: u64,
+    requests: HashMap<RequestId, PendingRequest>,
+}
+
+impl PendingRequests {
+    /// Adds a request.
+    pub fn open(&mut self, request: Rc<ClientRequest>) -> SubmittedRequest {
+        let (answer, receiver) = oneshot::channel();
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let pending = PendingRequest { request, answer, attempts_started: 0, last_attempt_timed_out: false };
+        self.requests.insert(id, pending);
+        SubmittedRequest { id, answer: receiver }
+    }
+
+    /// Whether a request is pending.
+    pub fn contains(&self, id: RequestId) -> bool {
+        self.requests.contains_key(&id)
+    }
+
+    /// Whether a request is pending and its last attempt timed out.
+    pub fn last_attempt_timed_out(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_some_and(|pending| pending.last_attempt_timed_out)
+    }
+
+    /// Removes a request; `None` if it was not pending.
+    pub fn remove(&mut self, id: RequestId) -> Option<ClosedRequest> {
+        let removed = self.requests.remove(&id)?;
+        Some(ClosedRequest { answer: removed.answer, attempts_started: removed.attempts_started })
+    }
+
+    /// Numbers the next attempt of a request; `None` if the request is not pending.
+    pub fn next_attempt(&mut self, id: RequestId) -> Option<NextAttempt> {
+        let pending = self.requests.get_mut(&id)?;
+        let attempt = AttemptNumber(pending.attempts_started);
+        pending.attempts_started += 1;
+        Some(NextAttempt { id: AttemptId { request: id, attempt }, request: pending.request.clone() })
+    }
+
+    /// Records the outcome of an attempt of a request, if that is pending.
+    pub fn record_attempt_outcome(&mut self, id: RequestId, outcome: Outcome) {
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.last_attempt_timed_out = outcome == Outcome::TimedOut;
+        }
+    }
+}
--- a/crates/balancer-agent/src/driver/timers.rs
+++ b/crates/balancer-agent/src/driver/timers.rs
@@ -1,31 +1,50 @@
 //! The balancer's timers.
 
+use crate::clock::Clock;
 use balancer_core::{Time, TimerId};
+use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
+use tokio::sync::Notify;
+use tokio::time::{sleep_until, Instant};
 
 /// Timers that are set, soonest first.
 #[derive(Default)]
-pub struct TimerQueue {
-    timers: BinaryHeap<Reverse<(Time, TimerId)>>,
+pub struct Timers {
+    pending: RefCell<BinaryHeap<Reverse<(Time, TimerId)>>>,
+    /// Notified when a timer is set that is due before all others.
+    soonest_changed: Notify,
 }
 
-impl TimerQueue {
-    /// Sets a timer; true if it is the next one that is due.
-    pub fn set(&mut self, at: Time, timer: TimerId) -> bool {
-        let is_next = self.next_due().is_none_or(|next| at < next);
-        self.timers.push(Reverse((at, timer)));
-        is_next
+impl Timers {
+    /// Sets a timer.
+    pub fn set(&self, at: Time, timer: TimerId) {
+        let is_soonest = self.next_due().is_none_or(|next| at < next);
+        self.pending.borrow_mut().push(Reverse((at, timer)));
+        if is_soonest {
+            self.soonest_changed.notify_one();
+        }
     }
 
-    /// When the next timer is due.
-    pub fn next_due(&self) -> Option<Time> {
-        self.timers.peek().map(|Reverse((at, _))| *at)
+    /// Removes and returns the next timer, if it is due.
+    pub fn pop_due(&self, now: Time) -> Option<TimerId> {
+        self.next_due().filter(|at| *at <= now)?;
+        let Reverse((_, timer)) = self.pending.borrow_mut().pop()?;
+        Some(timer)
     }
 
-    /// The next timer, if it is due.
-    pub fn take_due(&mut self, now: Time) -> Option<TimerId> {
-        self.next_due().filter(|at| *at <= now)?;
-        self.timers.pop().map(|Reverse((_, timer))| timer)
+    /// Waits until a timer is due, or until `latest` if none is due before that. Also returns when a timer is
+    /// set that is due before all others.
+    pub async fn wait(&self, clock: &Clock, latest: Instant) {
+        let next_due = self.next_due().map(|at| clock.instant_of(at));
+        let wake_at = next_due.map_or(latest, |next_due| next_due.min(latest));
+        tokio::select! {
+            () = sleep_until(wake_at) => {}
+            () = self.soonest_changed.notified() => {}
+        }
+    }
+
+    fn next_due(&self) -> Option<Time> {
+        self.pending.borrow().peek().map(|Reverse((at, _))| *at)
     }
 }
--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -6,6 +6,7 @@
 use super::{Listener, CROWDED_SHARE};
 use crate::driver::Driver;
 use crate::framing::ConnectionState;
+use crate::request::SubmittedRequest;
 use balancer_core::RequestId;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
@@ -56,7 +57,7 @@
         let id = header_text(&request.headers, REQUEST_ID).unwrap_or_default();
         let _open = self.open_requests.open(id).ok_or(InvalidRequest::RequestIdInUse)?;
         let deadline = request.deadline;
-        let (id, answer) = self.driver.submit(request);
+        let SubmittedRequest { id, answer } = self.driver.submit(request);
         let _guard = DisconnectGuard { driver: &self.driver, id };
         let answer = tokio::select! {
             answer = timeout_at(deadline + DEADLINE_SLACK, answer) => answer.ok(),
--- a/crates/balancer-agent/src/upstream/client.rs
+++ b/crates/balancer-agent/src/upstream/client.rs
@@ -39,7 +39,7 @@
     }
 
     /// Sends an attempt and waits for its end, until `deadline` at the longest.
-    pub async fn attempt(
+    pub async fn send_attempt(
         &self,
         server: ServerId,
         request: Request<Full<Bytes>>,
--- a/crates/balancer-agent/src/upstream/client/tests.rs
+++ b/crates/balancer-agent/src/upstream/client/tests.rs
@@ -32,7 +32,8 @@
 /// Sends a request and returns the body of its answer.
 async fn ask(client: &ServerClient) -> Bytes {
     let request = Request::get("/").body(Full::default()).expect("a request");
-    let ended = client.attempt(SERVER, request, Instant::now() + LONG, &AttemptProgress::new(None)).await;
+    let ended =
+        client.send_attempt(SERVER, request, Instant::now() + LONG, &AttemptProgress::new(None)).await;
     ended.answer.expect("an answer").body
 }
 
@@ -94,7 +95,7 @@
     let request = Request::post("/").body(Full::new(Bytes::from(vec![b'b'; MAX_BODY]))).expect("a request");
     let started_at = Instant::now();
     let progress = AttemptProgress::new(Some(started_at + Duration::from_secs(5)));
-    let attempt = client.attempt(SERVER, request, started_at + LONG, &progress);
+    let attempt = client.send_attempt(SERVER, request, started_at + LONG, &progress);
     let server = read_from(&listener, started_at + Duration::from_secs(6));
 
     let play = async { tokio::join!(attempt, server) };
