--- a/crates/balancer-agent/src/upstream/attempt.rs
+++ b/crates/balancer-agent/src/upstream/attempt.rs
@@ -1,80 +1,72 @@
-//! An attempt as its task and the driver share it, and how it ended.
+//! An attempt's progress, which its task and the driver share, and its outcome.
 
-use super::counted_stream::WireState;
+use super::request_on_wire::RequestOnWire;
 use crate::request::ServedAnswer;
 use balancer_core::Outcome;
 use std::cell::{Cell, RefCell};
-use std::rc::Rc;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The wire that an attempt goes over.
-struct AttemptWire {
-    state: Rc<WireState>,
-    /// The bytes written there when the attempt's last byte is out.
-    written_when_complete: u64,
-}
-
-/// How far an attempt has come.
+/// How far an attempt has been written, and whether it has been cancelled.
 #[derive(Default)]
 pub struct AttemptProgress {
-    wire: RefCell<Option<AttemptWire>>,
-    /// What has not been written by then stays unwritten.
+    /// Its last byte must be written by then, if this is set.
     write_by: Option<Instant>,
+    /// Its request on a connection; `None` until it has one.
+    request: RefCell<Option<RequestOnWire>>,
     is_cancelled: Cell<bool>,
     cancelled: Notify,
 }
 
 impl AttemptProgress {
-    /// An attempt that has not begun.
+    /// An attempt that has not begun. If it is not written completely by `write_by`, the rest is not written.
     pub fn new(write_by: Option<Instant>) -> Self {
         AttemptProgress { write_by, ..AttemptProgress::default() }
     }
 
-    /// Its last byte may be out: from here on it may have run.
+    /// Records that the request is about to be written to a connection.
+    pub fn start_writing(&self, request: RequestOnWire) {
+        request.set_write_by(self.write_by);
+        *self.request.borrow_mut() = Some(request);
+    }
+
+    /// Whether the server may have run the request, as its last byte may have been written.
     pub fn may_have_run(&self) -> bool {
-        let wire = self.wire.borrow();
-        wire.as_ref().is_some_and(|wire| wire.state.written() >= wire.written_when_complete)
+        self.request.borrow().as_ref().is_some_and(RequestOnWire::may_be_complete)
     }
 
-    /// Gives the attempt up. What has not been written stays unwritten.
+    /// Cancels the attempt. Bytes that are not written yet are not written any more.
     pub fn cancel(&self) {
         self.is_cancelled.set(true);
-        if let Some(wire) = &*self.wire.borrow() {
-            wire.state.close_writing();
+        if let Some(request) = &*self.request.borrow() {
+            request.stop_writing();
         }
         self.cancelled.notify_one();
     }
 
-    /// Whether the attempt has been given up.
+    /// Whether the attempt has been cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.is_cancelled.get()
     }
 
-    /// Resolves when the attempt has been given up.
+    /// Waits until the attempt is cancelled.
     pub async fn cancelled(&self) {
         self.cancelled.notified().await;
     }
-
-    /// The attempt is about to be written over this wire; its last byte is out when so many bytes are.
-    pub fn start_writing(&self, wire: &Rc<WireState>, written_when_complete: u64) {
-        wire.set_write_by(self.write_by);
-        *self.wire.borrow_mut() = Some(AttemptWire { state: wire.clone(), written_when_complete });
-    }
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 pub struct AttemptOutcome {
-    /// The outcome in the balancer's terms.
+    /// How it ended.
     pub outcome: Outcome,
-    /// The load report that came along.
+    /// The load report in the server's answer, if any.
     pub load_report: Option<Vec<f64>>,
-    /// The complete answer of a served request.
+    /// The complete answer, if the outcome is a success.
     pub answer: Option<ServedAnswer>,
 }
 
 impl AttemptOutcome {
-    /// An end without an answer.
+    /// The result of an attempt that got no answer.
     pub fn without_answer(outcome: Outcome) -> Self {
         AttemptOutcome { outcome, load_report: None, answer: None }
     }
--- a/crates/balancer-agent/src/upstream/client/tests.rs
+++ b/crates/balancer-agent/src/upstream/client/tests.rs
@@ -10,13 +10,15 @@
 use tokio::time::sleep_until;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(60);
-const LONG: Duration = Duration::from_secs(600);
+/// Longer than any test takes.
+const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 const SERVER: ServerId = ServerId(0);
 
 /// A client that knows the server behind the listener.
 fn client_of(listener: &TcpListener) -> ServerClient {
     let address = listener.local_addr().expect("an address");
-    let limits = PoolLimits { max_connections: 10, connect_timeout: CONNECT_TIMEOUT, keepalive: LONG };
+    let limits =
+        PoolLimits { max_connections: 10, connect_timeout: CONNECT_TIMEOUT, keepalive: LONG_TIMEOUT };
     let pool = ConnectionPool::new(limits);
     let list = serde_json::json!({"seq": 1, "hosts": [
         {"host": "s", "dial": address.to_string(), "health": "up"}]});
@@ -30,15 +32,16 @@
 }
 
 /// Sends a request and returns the body of its answer.
-async fn ask(client: &ServerClient) -> Bytes {
+async fn body_of_answer(client: &ServerClient) -> Bytes {
     let request = Request::get("/").body(Full::default()).expect("a request");
-    let ended =
-        client.send_attempt(SERVER, request, Instant::now() + LONG, &AttemptProgress::new(None)).await;
+    let ended = client
+        .send_attempt(SERVER, request, Instant::now() + LONG_TIMEOUT, &AttemptProgress::new(None))
+        .await;
     ended.answer.expect("an answer").body
 }
 
-/// Accepts a connection, answers the request that comes over it, and keeps it open.
-async fn serve(listener: &TcpListener, body: &str) -> TcpStream {
+/// Accepts a connection, answers the first request on it, and returns the open connection.
+async fn accept_and_answer(listener: &TcpListener, body: &str) -> TcpStream {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut head = [0; 256];
     assert!(stream.read(&mut head).await.expect("a request") > 0);
@@ -46,29 +49,30 @@
     stream
 }
 
-/// The next request over a connection that has just brought an answer waits a moment: the second answer is
-/// there before anything of that request is written, whose own answer comes over another connection.
+/// A connection that has just carried an answer is not used at once. The second answer arrives before the next
+/// request is written, and that request is then sent over another connection.
 #[tokio::test(start_paused = true)]
 async fn a_second_answer_is_not_given_to_the_next_request() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = client_of(&listener);
-    let play = async {
-        let (first, mut stream) = tokio::join!(ask(&client), serve(&listener, "first"));
+    let test = async {
+        let (first, mut stream) =
+            tokio::join!(body_of_answer(&client), accept_and_answer(&listener, "first"));
         assert_eq!(first, "first");
         stream.write_all(&response("second")).await.expect("it is written");
 
-        let next = timeout(CONNECT_TIMEOUT, serve(&listener, "next"));
-        let (next, _stream) = tokio::join!(ask(&client), next);
+        let next = timeout(CONNECT_TIMEOUT, accept_and_answer(&listener, "next"));
+        let (next, _stream) = tokio::join!(body_of_answer(&client), next);
 
         assert_eq!(next, "next");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(test).await;
 }
 
-/// A listener whose connections take in next to nothing until they are read from.
+/// A listener whose connections buffer very few bytes until they are read from.
 fn slow_listener() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    // With small segments the client's side of the connection takes in little as well.
+    // With small segments the client's side of the connection buffers few bytes as well.
     socket.set_tcp_mss(88).expect("an option");
     socket.set_recv_buffer_size(2048).expect("an option");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -77,17 +81,17 @@
     TcpListener::from_std(socket.into()).expect("a listener")
 }
 
-/// Accepts a connection, reads from it only from `start` on, and returns how much came.
-async fn read_from(listener: &TcpListener, start: Instant) -> usize {
+/// Accepts a connection, reads from it only from `start` on, and returns the number of bytes received.
+async fn read_after(listener: &TcpListener, start: Instant) -> usize {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     sleep_until(start).await;
     let mut bytes = Vec::new();
-    // A reset of the connection ends this too.
+    // The loop also ends when the connection is reset.
     while bytes.len() <= MAX_BODY && stream.read_buf(&mut bytes).await.is_ok_and(|length| length > 0) {}
     bytes.len()
 }
 
-/// The server reads only once the retry's window is over: it does not get the rest.
+/// The server reads only after the time by which the retry must be written, and does not get the rest of it.
 #[tokio::test(start_paused = true)]
 async fn a_retry_that_is_still_being_written_at_the_end_of_its_window_is_not_finished() {
     let listener = slow_listener();
@@ -95,11 +99,11 @@
     let request = Request::post("/").body(Full::new(Bytes::from(vec![b'b'; MAX_BODY]))).expect("a request");
     let started_at = Instant::now();
     let progress = AttemptProgress::new(Some(started_at + Duration::from_secs(5)));
-    let attempt = client.send_attempt(SERVER, request, started_at + LONG, &progress);
-    let server = read_from(&listener, started_at + Duration::from_secs(6));
+    let attempt = client.send_attempt(SERVER, request, started_at + LONG_TIMEOUT, &progress);
+    let server = read_after(&listener, started_at + Duration::from_secs(6));
 
-    let play = async { tokio::join!(attempt, server) };
-    let (ended, received) = LocalSet::new().run_until(play).await;
+    let test = async { tokio::join!(attempt, server) };
+    let (ended, received) = LocalSet::new().run_until(test).await;
 
     assert!(received <= MAX_BODY, "it came completely");
     assert_eq!(ended.outcome, Outcome::ConnectFailed, "it never ran");
--- a/crates/balancer-agent/src/upstream/counted_stream.rs
+++ b/crates/balancer-agent/src/upstream/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A socket that counts what the kernel has taken, so that the fate of a broken attempt is known.
+//! A socket that counts the bytes written to it, which tells whether a broken attempt may have run.
 
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -10,36 +10,36 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Read at a time.
-const CHUNK: usize = 4 << 10;
+/// Most bytes read at a time.
+const READ_CHUNK_BYTES: usize = 4 << 10;
 
-/// What passes between a connection's task and its user.
+/// The state of a connection's socket, shared between the connection's task and its user.
 #[derive(Default)]
 pub struct WireState {
-    written: Cell<u64>,
-    /// Bytes that may still be read.
+    bytes_written: Cell<u64>,
+    /// The number of bytes that may still be read.
     read_allowance: Cell<u64>,
     write_by: Cell<Option<Instant>>,
     is_write_closed: Cell<bool>,
 }
 
 impl WireState {
-    /// Bytes written so far.
-    pub fn written(&self) -> u64 {
-        self.written.get()
+    /// The number of bytes that the kernel has accepted since the connection was opened.
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written.get()
     }
 
-    /// Allows so many bytes more to be read; one over that ends the connection.
+    /// Allows this many bytes to be read from now on; a read that exceeds them fails.
     pub fn allow_reading(&self, bytes: u64) {
         self.read_allowance.set(bytes);
     }
 
-    /// From this time on nothing is written any more, if there is one.
+    /// Sets the time after which writes fail; `None` removes the limit.
     pub fn set_write_by(&self, write_by: Option<Instant>) {
         self.write_by.set(write_by);
     }
 
-    /// Nothing is written any more, not even what is queued already.
+    /// Makes all further writes fail, also of bytes that hyper has queued already.
     pub fn close_writing(&self) {
         self.is_write_closed.set(true);
     }
@@ -60,7 +60,7 @@
 }
 
 impl CountedStream {
-    /// Wraps a connected socket; nothing may be read from it yet.
+    /// Wraps a connected socket. Reading must be allowed by the wire state first.
     pub fn new(stream: TcpStream, wire: Rc<WireState>) -> Self {
         CountedStream { io: TokioIo::new(stream), wire }
     }
@@ -72,7 +72,7 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let space = chunk.len().min(buf.remaining());
         let mut read = ReadBuf::new(&mut chunk[..space]);
         ready!(Pin::new(&mut self.io).poll_read(cx, read.unfilled()))?;
@@ -107,7 +107,7 @@
     ) -> Poll<io::Result<usize>> {
         self.wire.check_writable()?;
         let written = ready!(Pin::new(&mut self.io).poll_write_vectored(cx, bufs))?;
-        self.wire.written.set(self.wire.written.get() + written as u64);
+        self.wire.bytes_written.set(self.wire.bytes_written() + written as u64);
         Poll::Ready(Ok(written))
     }
 }
--- a/crates/balancer-agent/src/upstream/response.rs
+++ b/crates/balancer-agent/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reading the answers of servers (PROTOCOL page, "Agents to order servers").
+//! What the answers of servers mean (PROTOCOL page, "Agents to order servers").
 
 use super::MAX_BODY;
 use balancer_core::Outcome;
@@ -6,8 +6,8 @@
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
 
-/// What an answer means. Only a rejection that says so proves that the request has not run: a bare 503 may
-/// come from something that ran it.
+/// The outcome that a server's answer stands for. A 503 or 504 proves that the request has not run only if it
+/// carries the header `X-Not-Processed: 1`; otherwise it may come from a proxy behind which the request ran.
 pub fn outcome_of<B>(response: &Response<B>) -> Outcome {
     let is_unprocessed =
         response.headers().get("x-not-processed").is_some_and(|value| value.as_bytes() == b"1");
@@ -18,9 +18,8 @@
     }
 }
 
-/// Whether the end of the body is known and not too far off. Two lengths are none: hyper would go by one of
-/// them, and what it then took for the answer need not be. With none, what was cut off would pass for the
-/// whole.
+/// Whether the length of the body is unambiguous and at most `MAX_BODY`. With several lengths hyper would use
+/// one of them, which may be the wrong one; without any, a truncated body would be taken for a complete one.
 pub fn has_known_length<B: Body>(response: &Response<B>) -> bool {
     let headers = response.headers();
     let lengths = headers.get_all(CONTENT_LENGTH).iter().chain(headers.get(TRANSFER_ENCODING)).count();
@@ -29,13 +28,14 @@
     !is_ambiguous && response.body().size_hint().lower() <= MAX_BODY as u64
 }
 
-/// The load report in an answer's header, if there is one.
+/// The load report in an answer's header, if any.
 pub fn load_report_of<B>(response: &Response<B>, fields: &[String]) -> Option<Vec<f64>> {
     let header = response.headers().get("x-server-load").and_then(|value| value.to_str().ok());
     header.and_then(|text| parse_load_report(text, fields))
 }
 
-/// Reads `TEXT inflight=7, queue=2` into the order of the settings; none if it says nothing of their fields.
+/// Parses a load report such as `TEXT inflight=7, queue=2`. Its values are in the order of `fields`, with NaN
+/// for those that are missing or not a number; `None` if it has a value for none of them.
 pub fn parse_load_report(text: &str, fields: &[String]) -> Option<Vec<f64>> {
     let text = text.trim();
     let pairs = text.strip_prefix("TEXT").unwrap_or(text);
