--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -18,8 +18,8 @@
 use crate::request::{ClientRequest, SubmittedRequest};
 use crate::upstream::{AttemptOutcome, ConnectionPool, PoolLimits, ServerClient};
 use balancer_core::{
-    Action, Balancer, ClassId, Effect, Endpoint, EndpointUpdate, Event, RequestId, ServerId, SettingsError,
-    Span,
+    Action, Balancer, ClassId, Effect, Endpoint, EndpointUpdate, Event, Notice, RequestId, ServerId,
+    SettingsError, Span,
 };
 use balancer_settings::HostSettings;
 use endpoint_watch::EndpointWatch;
@@ -90,7 +90,7 @@
         });
         let endpoints = driver.update_servers(&config.cached_endpoints);
         for action in start_actions {
-            driver.carry_out(action);
+            driver.carry_out(&action);
         }
         driver.handle_event(Event::Endpoints(EndpointUpdate::Cached(endpoints)));
         Ok(driver)
@@ -167,13 +167,13 @@
         let mut actions = Vec::new();
         while self.events.borrow_mut().handle_next(self.clock.now(), &mut actions) {
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.carry_out(&action);
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
-        match action {
+    fn carry_out(self: &Rc<Self>, action: &Action) {
+        match *action {
             Action::Send { request, server, timeout_at, write_by } => {
                 let deadlines = AttemptDeadlines {
                     timeout_at: self.clock.instant_of(timeout_at),
@@ -194,7 +194,7 @@
             Action::WatchEndpoints => self.endpoint_watch.borrow_mut().start(self.clone()),
             // Agents of this deployment have no way to talk to each other, and the settings say so.
             Action::Gossip { .. } => {}
-            Action::Log { text } => eprintln!("{text}"),
+            Action::Notify(notice) => eprintln!("{}", describe(&notice)),
         }
     }
 
@@ -268,3 +268,15 @@
 fn elapsed_since(instant: Instant) -> Span {
     Span(instant.elapsed().as_micros() as u64)
 }
+
+fn describe(notice: &Notice) -> String {
+    match notice {
+        Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
+            "server {} ejected ({reason}): latency ratio {:.2} of a fleet median of {:.2}",
+            server.0,
+            latency_ratio.value(),
+            fleet_median.value()
+        ),
+        _ => format!("{notice:?}"),
+    }
+}
--- a/crates/balancer-agent/src/driver/endpoint_watch/server_list.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_list.rs
@@ -38,7 +38,7 @@
             EndpointHealth::Removed => EndpointStatus::Removed,
         },
         weight: entry.weight,
-        started_at: is_start_time_known.then(|| Time::from_ms(entry.started_at_ms)),
+        started_at: is_start_time_known.then(|| Time::from_millis_f64(entry.started_at_ms)),
     }
 }
 
--- a/crates/balancer-agent/src/upstream/attempt.rs
+++ b/crates/balancer-agent/src/upstream/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::request_on_wire::RequestOnWire;
 use crate::request::ServedAnswer;
-use balancer_core::Outcome;
+use balancer_core::{LoadReport, Outcome};
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -60,7 +60,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The load report in the server's answer, if any.
-    pub load_report: Option<Vec<f64>>,
+    pub load_report: Option<LoadReport>,
     /// The complete answer, if the outcome is a success.
     pub answer: Option<ServedAnswer>,
 }
