--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -7,6 +7,7 @@
 
 mod endpoint_watch;
 mod event_queue;
+mod notice_text;
 mod outgoing;
 mod requests;
 mod timers;
@@ -24,6 +25,7 @@
 use balancer_settings::HostSettings;
 use endpoint_watch::EndpointWatch;
 use event_queue::EventQueue;
+use notice_text::notice_text;
 use outgoing::outgoing_request;
 use requests::{AttemptId, RequestTracker};
 use std::cell::RefCell;
@@ -194,7 +196,7 @@
             Action::WatchEndpoints => self.endpoint_watch.borrow_mut().start(self.clone()),
             // Agents of this deployment have no way to talk to each other, and the settings say so.
             Action::Gossip { .. } => {}
-            Action::Notify(notice) => eprintln!("{}", describe(&notice)),
+            Action::Notify(notice) => self.log_notice(&notice),
         }
     }
 
@@ -241,6 +243,11 @@
         });
     }
 
+    fn log_notice(&self, notice: &Notice) {
+        let endpoint_watch = self.endpoint_watch.borrow();
+        eprintln!("{}", notice_text(notice, endpoint_watch.server_names()));
+    }
+
     /// Updates where the servers of a list are reached, and returns the list in the balancer's terms.
     fn update_servers(&self, list: &EndpointList) -> Vec<Endpoint> {
         let pool = self.client.pool();
@@ -268,15 +275,3 @@
 fn elapsed_since(instant: Instant) -> Span {
     Span(instant.elapsed().as_micros() as u64)
 }
-
-fn describe(notice: &Notice) -> String {
-    match notice {
-        Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
-            "server {} ejected ({reason}): latency ratio {:.2} of a fleet median of {:.2}",
-            server.0,
-            latency_ratio.value(),
-            fleet_median.value()
-        ),
-        _ => format!("{notice:?}"),
-    }
-}
--- a/crates/balancer-agent/src/driver/endpoint_watch.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch.rs
@@ -3,13 +3,14 @@
 mod server_list;
 mod server_names;
 
+pub use server_names::RetainedServerNames;
+
 use crate::discovery::{Discovery, WatchListener};
 use crate::endpoint_list::EndpointList;
 use crate::upstream::ConnectionPool;
 use balancer_core::Endpoint;
 use balancer_settings::HostSettings;
 use server_list::ServerList;
-use server_names::RetainedServerNames;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -36,6 +37,11 @@
         self.discovery.watch(listener);
     }
 
+    /// The names and numbers of the servers.
+    pub fn server_names(&self) -> &RetainedServerNames {
+        &self.names
+    }
+
     /// Updates where the servers of a list are reached, and returns the list in the balancer's terms.
     pub fn update_servers(
         &mut self,
--- a/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
@@ -22,7 +22,7 @@
 }
 
 impl RetainedServerNames {
-    /// The number of a server. The first use of a name is logged, as other log lines may name the number.
+    /// The number of a server. The first use of a name is logged with its number.
     pub fn number(&mut self, name: &str) -> ServerId {
         if let Some(server) = self.names.find(name) {
             return server;
@@ -32,6 +32,11 @@
         server
     }
 
+    /// The name of a server; `None` if it was forgotten.
+    pub fn name(&self, server: ServerId) -> Option<&str> {
+        self.names.name(server).map(AsRef::as_ref)
+    }
+
     /// Records which servers a new list names and which it removes, and forgets the names of servers that were
     /// removed longer ago than [`NAME_RETENTION`].
     pub fn record_list(&mut self, list: &ServerList) {
