--- a/crates/balancer-agent/src/clock.rs
+++ b/crates/balancer-agent/src/clock.rs
@@ -4,38 +4,41 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Bounds what is added to an instant, which would overflow otherwise: some 35 years.
-const MAX_OFFSET_US: u64 = 1 << 50;
+/// The latest instant is this long after the start, about 35 years: adding much more to an instant overflows.
+const MAX_OFFSET: Span = Span::from_micros(1 << 50);
 
-/// Unix time at the start, carried on by the monotonic clock. So the start times of servers are times of the
-/// same kind, and no step of the system's clock moves a deadline.
+/// Unix time when the agent started, advanced by the monotonic clock. Its times can be compared with the start
+/// times of servers, and a step of the system clock does not move any deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    origin: Instant,
-    unix_at_origin: Span,
+    started_at: Instant,
+    unix_time_at_start: Time,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), unix_at_origin: Span(unix.as_micros() as u64) }
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock {
+            started_at: Instant::now(),
+            unix_time_at_start: Time::from_micros(unix_time.as_micros() as u64),
+        }
     }
 
-    /// The time now.
+    /// The present time.
     pub fn now(&self) -> Time {
         self.time_of(Instant::now())
     }
 
-    /// The time at an instant.
+    /// The time of an instant.
     pub fn time_of(&self, instant: Instant) -> Time {
-        let offset = instant.saturating_duration_since(self.origin);
-        Time(self.unix_at_origin.0 + offset.as_micros() as u64)
+        let offset = instant.saturating_duration_since(self.started_at);
+        self.unix_time_at_start + Span::from_micros(offset.as_micros() as u64)
     }
 
     /// The instant of a time.
     pub fn instant_of(&self, time: Time) -> Instant {
-        let offset_us = time.0.saturating_sub(self.unix_at_origin.0).min(MAX_OFFSET_US);
-        self.origin + Duration::from_micros(offset_us)
+        let offset = time.since(self.unix_time_at_start).min(MAX_OFFSET);
+        self.started_at + Duration::from_micros(offset.as_micros())
     }
 }
--- a/crates/balancer-agent/src/config/tests.rs
+++ b/crates/balancer-agent/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! What is taken from the variables and the file, and which configurations are rejected.
+//! What is read from the variables and the file, and which configurations are rejected.
 
 use super::*;
 
@@ -11,11 +11,11 @@
 }
 
 fn load_error(text: &str, listen: &str) -> String {
-    load(text, listen).expect_err("no configuration to start with").to_string()
+    load(text, listen).expect_err("an invalid configuration").to_string()
 }
 
 #[test]
-fn variables_override_the_file_and_unknown_keys_are_skipped() {
+fn variables_override_the_file_and_unknown_keys_are_ignored() {
     let text = format!(
         r#"{{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","novel":[],"settings":{SETTINGS}}}"#
     );
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn errors_name_what_no_agent_can_start_with() {
+fn errors_name_the_value_that_is_missing_or_invalid() {
     let no_class = r#"{"discovery":"127.0.0.1:2","settings":{"classes":[]}}"#;
     let complete = format!(r#"{{"discovery":"127.0.0.1:2","settings":{SETTINGS}}}"#);
     let no_discovery = format!(r#"{{"settings":{SETTINGS}}}"#);
--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -73,8 +73,8 @@
         let host_settings = config.host_settings;
         let pool = ConnectionPool::new(PoolLimits {
             max_connections,
-            connect_timeout: Duration::from_micros(host_settings.connect_timeout.0),
-            keepalive: Duration::from_micros(host_settings.keepalive.0),
+            connect_timeout: Duration::from_micros(host_settings.connect_timeout.as_micros()),
+            keepalive: Duration::from_micros(host_settings.keepalive.as_micros()),
         });
         let effects = config.settings.classes.iter().map(|class| class.effect).collect();
         let mut balancer = Balancer::new(config.settings, config.seed)?;
@@ -273,5 +273,5 @@
 }
 
 fn elapsed_since(instant: Instant) -> Span {
-    Span(instant.elapsed().as_micros() as u64)
+    Span::from_micros(instant.elapsed().as_micros() as u64)
 }
