--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Watching the endpoint list.
 //!
-//! When to begin a watch, and when to begin one again after a failure, is the balancer's to say
-//! ([`balancer_core::Action::WatchEndpoints`]); a watch once begun is kept up here.
+//! The balancer decides when to begin a watch, and when to begin again after a failure
+//! ([`balancer_core::Action::WatchEndpoints`]). Between these, this module repeats the watch's calls.
 
 use crate::endpoint_list::EndpointList;
 use crate::http_client::{connect, start_http, ConnectionTask};
@@ -16,27 +16,28 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// How long a watch waits for news. Short enough that a silent discovery is found out soon.
-const WATCH_WAIT: Duration = Duration::from_secs(5);
-/// A call without an answer this long after it should have one has failed: discovery is down or cut off. What
-/// it had to deliver counts as notified 2 s after its wait (PROTOCOL page, "Figures"); by then the next call
-/// must have been made.
+/// How long discovery may hold a call until the list changes. It is short, so that a discovery that has become
+/// unreachable is noticed soon.
+const MAX_CALL_WAIT: Duration = Duration::from_secs(5);
+/// A call that is not answered this long after discovery's wait has failed. Changes count as notified 2 s after
+/// the wait (PROTOCOL page, "Figures"), and the next call must have been made by then.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest list that is read. Parsed, one may take ten times its length, and memory may be 32 MB.
+/// Most bytes of a list. A parsed list may take ten times its encoded size, and the process may have no more
+/// than 32 MB of memory.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// Takes in what a watch brings.
+/// Handles the events of a watch.
 pub trait WatchListener {
-    /// An answer has come, or the watch has failed and is over.
+    /// Handles a new list, or the end of the watch.
     fn handle_watch_event(self: Rc<Self>, event: WatchEvent);
 }
 
-/// What a watch brings.
+/// An event of a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchEvent {
-    /// The complete list, or changes of the one before.
+    /// The complete list, or changes since the one before.
     Endpoints(EndpointList),
-    /// A call failed in any way; the watch is over.
+    /// A call failed, and the watch has ended.
     Failed,
 }
 
@@ -70,7 +71,7 @@
     /// Without a recorded version it begins with the complete list.
     pub fn watch(&mut self, listener: Rc<impl WatchListener + 'static>) {
         self.stop_watch();
-        self.watch = Some(tokio::task::spawn_local(watch(self.address, listener, self.list_version)));
+        self.watch = Some(tokio::task::spawn_local(run_watch(self.address, listener, self.list_version)));
     }
 
     fn stop_watch(&mut self) {
@@ -80,57 +81,63 @@
     }
 }
 
-/// Calls again as soon as the last call is answered, until one fails.
-async fn watch(address: SocketAddr, listener: Rc<impl WatchListener>, mut version: Option<u64>) {
+/// Calls discovery again as soon as the last call is answered, until one fails.
+async fn run_watch(address: SocketAddr, listener: Rc<impl WatchListener>, mut version: Option<u64>) {
     let mut client = DiscoveryClient { address, connection: None };
     loop {
         let list = match version {
             Some(version) => client.changes_after(version).await,
-            // Changes refer to a list that is known; as a first answer they would say nothing of the others.
+            // Changes are of no use without the list that they refer to.
             None => client.complete_list().await.filter(|list| list.is_complete),
         };
         let Some(list) = list else {
-            return listener.handle_watch_event(WatchEvent::Failed);
+            listener.handle_watch_event(WatchEvent::Failed);
+            return;
         };
         version = Some(list.version);
         listener.clone().handle_watch_event(WatchEvent::Endpoints(list));
     }
 }
 
+/// An open connection to discovery; dropping it closes it.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     _task: ConnectionTask,
 }
 
-/// Makes calls to discovery. The connection is kept for the next call only if all went well.
+/// Makes calls to discovery. The connection is kept for the next call only if the last call succeeded.
 struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
 impl DiscoveryClient {
+    /// Fetches the complete list; `None` if the call fails.
     async fn complete_list(&mut self) -> Option<EndpointList> {
         self.call("/v1/endpoints", Duration::ZERO).await
     }
 
+    /// Waits for the changes after a version; `None` if the call fails.
     async fn changes_after(&mut self, version: u64) -> Option<EndpointList> {
-        let path = format!("/v1/endpoints?after={version}&wait_ms={}", WATCH_WAIT.as_millis());
-        self.call(&path, WATCH_WAIT).await
+        let path = format!("/v1/endpoints?after={version}&wait_ms={}", MAX_CALL_WAIT.as_millis());
+        self.call(&path, MAX_CALL_WAIT).await
     }
 
-    /// One call that discovery may let wait; none if it failed in any way. A discovery that is cut off leaves
-    /// its connection open and silent, so no answer in time is a failure like any other.
+    /// Makes a call that discovery may hold for `wait`; `None` if it fails. If discovery is cut off, its
+    /// connection stays open without any answer, so a missing answer is a failure too.
     async fn call(&mut self, path: &str, wait: Duration) -> Option<EndpointList> {
-        let kept = self.connection.take();
-        let (connection, list) = timeout(wait + CALL_TIMEOUT, self.exchange(kept, path)).await.ok()??;
-        self.connection = Some(connection);
+        let mut connection = self.connection.take();
+        let list = timeout(wait + CALL_TIMEOUT, self.exchange(&mut connection, path)).await.ok()??;
+        self.connection = connection;
         Some(list)
     }
 
-    async fn exchange(&self, kept: Option<Connection>, path: &str) -> Option<(Connection, EndpointList)> {
-        let mut connection = match kept.filter(|connection| !connection.sender.is_closed()) {
+    /// Sends one request and reads the answer, over the connection given or, if that is closed, a new one.
+    async fn exchange(&self, connection: &mut Option<Connection>, path: &str) -> Option<EndpointList> {
+        connection.take_if(|connection| connection.sender.is_closed());
+        let connection = match connection {
             Some(connection) => connection,
-            None => self.open().await?,
+            None => connection.insert(self.open().await?),
         };
         connection.sender.ready().await.ok()?;
         let request = Request::get(path).header("host", self.address.to_string()).body(Empty::new());
@@ -139,8 +146,7 @@
             return None;
         }
         let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await.ok()?.to_bytes();
-        let list = EndpointList::parse(&serde_json::from_slice(&body).ok()?)?;
-        Some((connection, list))
+        EndpointList::parse(&serde_json::from_slice(&body).ok()?)
     }
 
     async fn open(&self) -> Option<Connection> {
--- a/crates/balancer-agent/src/endpoint_list.rs
+++ b/crates/balancer-agent/src/endpoint_list.rs
@@ -1,25 +1,25 @@
-//! The endpoint list as discovery words it (PROTOCOL page, "Discovery").
+//! The endpoint list as discovery sends it (PROTOCOL page, "Discovery").
 
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A complete endpoint list, or the entries of it that have changed.
+/// A complete endpoint list, or the entries that have changed since an earlier one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointList {
     /// Its version.
     pub version: u64,
     /// Whether it is complete.
     pub is_complete: bool,
-    /// Its entries.
+    /// Its entries, in the order in which they were sent.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// One server.
+/// The entry of one server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
     /// Its name, the same at every agent.
     pub name: String,
-    /// Where this agent reaches it; the entry of a removed server may lack it.
+    /// Its address; may be absent unless the server is up.
     pub address: Option<SocketAddr>,
     /// The name of its zone.
     pub zone: String,
@@ -27,28 +27,28 @@
     pub machine_kind: String,
     /// Its cell.
     pub cell: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub health: EndpointHealth,
-    /// Its weight among the others.
+    /// Its size relative to the other servers.
     pub weight: f64,
     /// When its process last started, in Unix milliseconds; 0 for long ago.
     pub started_at_ms: f64,
 }
 
-/// Whether a server takes work.
+/// Whether a server accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointHealth {
-    /// It does.
+    /// It accepts work.
     Up,
-    /// It finishes what it has.
+    /// It finishes the requests that it has and accepts no others.
     Draining,
-    /// It has left.
+    /// It has left the fleet.
     Removed,
 }
 
 impl EndpointList {
-    /// Reads a list; none if this is no list. An entry that makes no sense is left out: one bad entry must
-    /// not cost the others.
+    /// Parses a list; `None` if the value is not a list. Entries that are invalid are skipped, so that the
+    /// others can be used.
     pub fn parse(value: &Value) -> Option<Self> {
         let entries = value.get("hosts")?.as_array()?;
         Some(EndpointList {
--- a/crates/balancer-agent/src/endpoint_list/tests.rs
+++ b/crates/balancer-agent/src/endpoint_list/tests.rs
@@ -1,10 +1,10 @@
-//! Which endpoint lists are read, and what of them.
+//! Which endpoint lists and entries are accepted.
 
 use super::*;
 use serde_json::json;
 
 #[test]
-fn entries_that_make_no_sense_are_left_out_and_unknown_fields_are_skipped() {
+fn invalid_entries_are_skipped_and_unknown_fields_are_ignored() {
     let value = json!({"seq": 7, "whole": true, "novel": 1, "hosts": [
         {"host": "a", "dial": "127.0.0.1:1", "site": "x", "health": "up", "born_ms": 5.0, "novel": {}},
         {"host": "b", "dial": "nowhere", "health": "up"},
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_not_read() {
+fn a_value_that_is_not_a_list_is_rejected() {
     for value in [json!(null), json!([]), json!({"seq": 1}), json!({"seq": "1", "hosts": []})] {
         assert_eq!(EndpointList::parse(&value), None, "{value}");
     }
--- a/crates/balancer-agent/src/headers.rs
+++ b/crates/balancer-agent/src/headers.rs
@@ -1,8 +1,8 @@
-//! Headers that pass from clients to servers.
+//! The headers that are forwarded from clients to servers.
 
 use hyper::header::HeaderMap;
 
-/// Headers that belong to the connection or are set anew; they are not forwarded.
+/// Headers that are not forwarded: they concern the client's connection only, or the agent sets its own.
 const NOT_FORWARDED: [&str; 12] = [
     "connection",
     "keep-alive",
@@ -18,14 +18,14 @@
     "x-timeout",
 ];
 
-/// The headers that are forwarded: neither the listed ones nor those that `Connection` names.
+/// The headers that are forwarded: all but those of [`NOT_FORWARDED`] and those that `Connection` lists.
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_values = headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
-    let connection_names: Vec<String> = connection_values
+    let listed_names: Vec<String> = connection_values
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
     let is_forwarded =
-        |name: &str| !NOT_FORWARDED.contains(&name) && !connection_names.iter().any(|named| named == name);
+        |name: &str| !NOT_FORWARDED.contains(&name) && !listed_names.iter().any(|listed| listed == name);
     let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name.as_str()));
     forwarded.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
