--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -3,6 +3,7 @@
 mod addresses;
 mod connection;
 mod idle;
+mod incarnation;
 mod server;
 mod slots;
 
@@ -11,10 +12,11 @@
 use crate::endpoint_list::{EndpointEntry, EndpointHealth};
 use addresses::ServersByAddress;
 use balancer_core::{Outcome, ServerId};
-use connection::{ConnectionTarget, Incarnation};
+use connection::ConnectionTarget;
+use incarnation::IncarnationCounter;
 use server::PooledServer;
 use slots::{ConnectionSlot, ConnectionSlots};
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -55,9 +57,7 @@
     slots: ConnectionSlots,
     servers: RefCell<HashMap<ServerId, PooledServer>>,
     servers_by_address: RefCell<ServersByAddress>,
-    /// Numbers incarnations across all servers: no two processes share one, even where a server takes another
-    /// one's address.
-    last_incarnation: Cell<u64>,
+    incarnations: IncarnationCounter,
 }
 
 impl ConnectionPool {
@@ -69,7 +69,7 @@
             slots: ConnectionSlots::new(limits.max_connections),
             servers: RefCell::default(),
             servers_by_address: RefCell::default(),
-            last_incarnation: Cell::new(0),
+            incarnations: IncarnationCounter::default(),
         })
     }
 
@@ -89,7 +89,7 @@
         if let Some(address) = address_in_use {
             self.assign_address(address, server);
         }
-        let next_incarnation = self.next_incarnation();
+        let next_incarnation = self.incarnations.next();
         match self.servers.borrow_mut().entry(server) {
             Entry::Vacant(vacant) => {
                 vacant.insert(PooledServer::new(server, entry, next_incarnation));
@@ -108,15 +108,10 @@
         let previous = self.servers_by_address.borrow_mut().assign(address, server);
         let mut servers = self.servers.borrow_mut();
         if let Some(previous) = previous.and_then(|previous| servers.get_mut(&previous)) {
-            previous.start_incarnation(self.next_incarnation());
+            previous.start_incarnation(self.incarnations.next());
         }
     }
 
-    fn next_incarnation(&self) -> Incarnation {
-        self.last_incarnation.set(self.last_incarnation.get() + 1);
-        Incarnation(self.last_incarnation.get())
-    }
-
     fn remove_server(&self, server: ServerId) {
         let removed = self.servers.borrow_mut().remove(&server);
         if let Some(address) = removed.and_then(|pooled| pooled.address()) {
--- a/crates/balancer-agent/src/upstream/pool/connection.rs
+++ b/crates/balancer-agent/src/upstream/pool/connection.rs
@@ -1,5 +1,6 @@
 //! One open connection to a server.
 
+use super::incarnation::Incarnation;
 use super::slots::ConnectionSlot;
 use crate::http_client::{connect, start_http, ConnectionTask};
 use crate::upstream::counted_stream::{CountedStream, WireState};
@@ -20,11 +21,6 @@
 /// may send a second answer some milliseconds later, which would pass for the next request's.
 pub const SETTLE_TIME: Duration = Duration::from_millis(5);
 
-/// Identifies one process at one address of a server. Connections to an earlier incarnation are not used for
-/// a later one.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Incarnation(pub u64);
-
 /// Where a connection leads to.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionTarget {
--- a/crates/balancer-agent/src/upstream/pool/server.rs
+++ b/crates/balancer-agent/src/upstream/pool/server.rs
@@ -1,7 +1,8 @@
 //! A server as the connection pool knows it.
 
-use super::connection::{Connection, ConnectionTarget, Incarnation};
+use super::connection::{Connection, ConnectionTarget};
 use super::idle::IdleConnections;
+use super::incarnation::Incarnation;
 use crate::endpoint_list::{EndpointEntry, EndpointHealth};
 use balancer_core::ServerId;
 use std::net::SocketAddr;
