--- a/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
@@ -65,3 +65,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-agent/src/driver/requests.rs
+++ b/crates/balancer-agent/src/driver/requests.rs
@@ -97,3 +97,6 @@
         Some(closed.answer)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-agent/src/driver/timers.rs
+++ b/crates/balancer-agent/src/driver/timers.rs
@@ -48,3 +48,6 @@
         self.pending.borrow().peek().map(|Reverse((at, _))| *at)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -228,3 +228,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-agent/src/upstream/pool/tests.rs
@@ -0,0 +1,78 @@
+//! Which servers a pool may use, and the slots for their connections.
+
+use super::*;
+use crate::endpoint_list::EndpointList;
+
+const SERVER: ServerId = ServerId(1);
+const OTHER_SERVER: ServerId = ServerId(2);
+
+fn pool() -> Rc<ConnectionPool> {
+    ConnectionPool::new(PoolLimits {
+        max_connections: 2,
+        connect_timeout: Duration::from_secs(1),
+        keepalive: Duration::from_secs(10),
+    })
+}
+
+fn entry(health: &str) -> EndpointEntry {
+    let list =
+        serde_json::json!({"seq": 1, "hosts": [{"host": "s", "dial": "127.0.0.1:1", "health": health}]});
+    let list = EndpointList::parse(&list).expect("a list");
+    list.entries.into_iter().next().expect("an entry")
+}
+
+#[test]
+fn a_pool_has_a_server_while_one_is_up() {
+    let pool = pool();
+    assert!(!pool.has_server());
+
+    pool.update_server(SERVER, &entry("up"));
+    assert!(pool.has_server());
+
+    pool.update_server(SERVER, &entry("draining"));
+    assert!(!pool.has_server());
+
+    pool.update_server(SERVER, &entry("up"));
+    pool.update_server(SERVER, &entry("removed"));
+    assert!(!pool.has_server());
+}
+
+#[test]
+fn servers_that_a_complete_list_does_not_name_are_forgotten() {
+    let pool = pool();
+    pool.update_server(SERVER, &entry("up"));
+
+    pool.remove_unlisted_servers(&HashSet::from([SERVER]));
+    assert!(pool.has_server());
+
+    pool.remove_unlisted_servers(&HashSet::from([OTHER_SERVER]));
+    assert!(!pool.has_server());
+}
+
+#[test]
+fn an_address_belongs_to_the_server_that_was_last_named_there() {
+    let address = SocketAddr::from(([127, 0, 0, 1], 1));
+    let mut servers = ServersByAddress::default();
+
+    assert_eq!(servers.assign(address, SERVER), None);
+    assert_eq!(servers.assign(address, SERVER), None, "the server itself is no other server");
+    assert_eq!(servers.assign(address, OTHER_SERVER), Some(SERVER));
+
+    servers.unassign(address, SERVER);
+    assert_eq!(servers.assign(address, SERVER), Some(OTHER_SERVER), "only the owner gives an address up");
+
+    servers.unassign(address, SERVER);
+    assert_eq!(servers.assign(address, OTHER_SERVER), None);
+}
+
+#[test]
+fn a_dropped_slot_is_free_again() {
+    let slots = ConnectionSlots::new(2);
+    let first = slots.reserve();
+    let _second = slots.reserve();
+    assert!(slots.is_exhausted());
+
+    drop(first);
+
+    assert!(!slots.is_exhausted());
+}
