--- a/crates/balancer-agent/src/driver/endpoint_watch.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch.rs
@@ -2,6 +2,7 @@
 
 mod server_list;
 mod server_names;
+mod translation;
 
 pub use server_names::RetainedServerNames;
 
@@ -10,9 +11,9 @@
 use crate::upstream::ConnectionPool;
 use balancer_core::Endpoint;
 use balancer_settings::HostSettings;
-use server_list::ServerList;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use translation::translate;
 
 /// The watch of the endpoint list, and the numbers of the servers that it names.
 pub struct EndpointWatch {
@@ -50,7 +51,7 @@
         pool: &ConnectionPool,
     ) -> Vec<Endpoint> {
         self.discovery.record_version(list.version);
-        let translated = ServerList::translate(list, &mut self.names, settings);
+        let translated = translate(list, &mut self.names, settings);
         self.names.record_list(&translated);
         for (endpoint, entry) in translated.endpoints.iter().zip(&list.entries) {
             pool.update_server(endpoint.server, entry);
