--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -60,10 +60,10 @@
     /// shutdown.
     async fn balance(&self, request: ClientRequest, shutdown: &ShutdownSignal) -> ClientResponse {
         let deadline = request.deadline;
-        let (id, answer) = self.driver.submit(request);
-        let _disconnect_guard = DisconnectGuard { driver: &self.driver, id };
+        let submitted = self.driver.submit(request);
+        let _disconnect_guard = DisconnectGuard { driver: &self.driver, id: submitted.id };
         let answer = tokio::select! {
-            answer = timeout_at(deadline + DEADLINE_SLACK, answer) => answer.ok(),
+            answer = timeout_at(deadline + DEADLINE_SLACK, submitted.answer) => answer.ok(),
             () = shutdown.answers_due() => None,
         };
         match answer {
