--- a/crates/balancer-core/src/policy/deadline/usual_timeout/tests.rs
+++ b/crates/balancer-core/src/policy/deadline/usual_timeout/tests.rs
@@ -17,10 +17,10 @@
 #[test]
 fn timeouts_within_the_tolerance_are_usual() {
     for (time_left, is_usual) in [
-        (Span(USUAL.0 + TOLERANCE.0), true),
-        (Span(USUAL.0 - TOLERANCE.0), true),
-        (Span(USUAL.0 + TOLERANCE.0 + 1), false),
-        (Span(USUAL.0 - TOLERANCE.0 - 1), false),
+        (Span::from_micros(801_000), true),
+        (Span::from_micros(799_000), true),
+        (Span::from_micros(801_001), false),
+        (Span::from_micros(798_999), false),
     ] {
         let mut usual_timeout = UsualTimeout::default();
         usual_timeout.is_first_try(USUAL, TOLERANCE);
--- a/crates/balancer-core/src/policy/retry/permission/tests.rs
+++ b/crates/balancer-core/src/policy/retry/permission/tests.rs
@@ -38,7 +38,7 @@
     let settings = settings(Effect::Idempotent);
     let active = active_request(&[]);
 
-    assert_eq!(scope_of(&settings, &active, Time(DEADLINE.0 - 1)), RetryScope::Anywhere);
+    assert_eq!(scope_of(&settings, &active, DEADLINE - Span::from_micros(1)), RetryScope::Anywhere);
     assert_eq!(scope_of(&settings, &active, DEADLINE), RetryScope::Nowhere);
 }
 
--- a/crates/balancer-core/src/policy/server_load/reported_load/tests.rs
+++ b/crates/balancer-core/src/policy/server_load/reported_load/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of reported loads.
 
 use super::*;
+use crate::Span;
 
 const NOW: Time = Time::from_millis(1_000);
 const DECAY_MS: f64 = 100.0;
@@ -42,5 +43,5 @@
 
     let reported = ReportedLoad::new(5.0, NOW);
     assert!(reported.is_reported_since(NOW));
-    assert!(!reported.is_reported_since(Time(NOW.0 + 1)));
+    assert!(!reported.is_reported_since(NOW + Span::from_micros(1)));
 }
--- a/crates/balancer-core/src/policy/suspicion/zone_links/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/zone_links/tests.rs
@@ -34,7 +34,7 @@
 
     links.cut(ZONE, CUT_UNTIL);
 
-    assert!(links.is_cut(Time(CUT_UNTIL.0 - 1), ZONE));
+    assert!(links.is_cut(CUT_UNTIL - Span::from_micros(1), ZONE));
     assert!(!links.is_cut(CUT_UNTIL, ZONE));
     assert!(!links.is_cut(NOW, OTHER));
 }
--- a/crates/balancer-core/src/time.rs
+++ b/crates/balancer-core/src/time.rs
@@ -7,11 +7,11 @@
 
 /// A moment on the caller's clock, in microseconds since any epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Time(pub u64);
+pub struct Time(u64);
 
 /// A length of time in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Span(pub u64);
+pub struct Span(u64);
 
 impl Time {
     /// The epoch itself.
