--- a/crates/balancer-agent/src/framing/connection_state.rs
+++ b/crates/balancer-agent/src/framing/connection_state.rs
@@ -159,3 +159,6 @@
         self.phase_since.set(Instant::now());
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-agent/src/listener/slot_usage.rs
+++ b/crates/balancer-agent/src/listener/slot_usage.rs
@@ -32,3 +32,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -73,3 +73,6 @@
         SlotUsage::Elevated | SlotUsage::High => MIN_IDLE_TIME,
     }
 }
+
+#[cfg(test)]
+mod tests;
