--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -34,6 +34,8 @@
 mod notice;
 mod policy;
 mod settings;
+#[cfg(test)]
+mod test_support;
 mod time;
 mod units;
 
--- a/crates/balancer-core/src/policy/admission/tests.rs
+++ b/crates/balancer-core/src/policy/admission/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::policy::latency::FleetLatency;
+use crate::test_support::assert_close;
 use crate::Settings;
 use crate::{ClassId, Request, RequestClass, RequestId, Span, Time};
 
@@ -14,10 +15,6 @@
     admission
 }
 
-fn assert_close(value: f64, expected: f64) {
-    assert!((value - expected).abs() < 1e-9, "{value} instead of {expected}");
-}
-
 #[test]
 fn a_round_trip_of_slow_answers_cuts_six_tenths() {
     let mut admission = AdmissionControl::new(10);
--- a/crates/balancer-core/src/policy/latency/tests.rs
+++ b/crates/balancer-core/src/policy/latency/tests.rs
@@ -1,16 +1,13 @@
 //! Tests of the latencies of servers, classes and kinds of machine.
 
 use super::*;
+use crate::test_support::assert_close;
 use crate::{RequestClass, Span};
 
 const CLASS: ClassId = ClassId(0);
 
 const KIND: MachineKindId = MachineKindId(1);
 
-fn assert_close(value: f64, expected: f64) {
-    assert!((value - expected).abs() < 1e-9, "{value} instead of {expected}");
-}
-
 /// Recomputes the median from servers that have answered with these ratios.
 fn refresh_median(fleet: &mut FleetLatency, ratios: &[f64]) {
     let servers: Vec<ServerLatency> =
--- a/crates/balancer-core/src/policy/slow_start/tests.rs
+++ b/crates/balancer-core/src/policy/slow_start/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of what is known of servers that are warming up.
 
 use super::*;
+use crate::test_support::assert_close;
 use crate::{ServerId, Span};
 
 const STARTED_AT: Time = Time::from_millis(1_000);
@@ -12,10 +13,6 @@
     capacity_share(&settings, &endpoint, STARTED_AT + Span::from_millis_f64(age_ms)).value()
 }
 
-fn assert_close(value: f64, expected: f64) {
-    assert!((value - expected).abs() < 1e-9, "{value} instead of {expected}");
-}
-
 #[test]
 fn capacity_share_grows_evenly_from_the_initial_capacity() {
     assert_close(capacity_share_at(0.0, 0.2), 0.2);
--- a/crates/balancer-core/src/policy/smoothing/tests.rs
+++ b/crates/balancer-core/src/policy/smoothing/tests.rs
@@ -1,10 +1,7 @@
 //! Tests of averages, decaying sums and the median.
 
 use super::*;
-
-fn assert_close(value: f64, expected: f64) {
-    assert!((value - expected).abs() < 1e-9, "{value} instead of {expected}");
-}
+use crate::test_support::assert_close;
 
 #[test]
 fn recent_average_moves_by_its_gain() {
--- a/crates/balancer-core/src/units.rs
+++ b/crates/balancer-core/src/units.rs
@@ -1,7 +1,5 @@
 //! Quantities that cross modules, each with its unit in its type.
 
-use std::ops::Add;
-
 /// A latency as a share of the latency objective of its request class: 1 is an answer at the objective.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct LatencyRatio(f64);
@@ -73,11 +71,3 @@
         self.0
     }
 }
-
-impl Add for Work {
-    type Output = Work;
-
-    fn add(self, other: Work) -> Work {
-        Work(self.0 + other.0)
-    }
-}
