--- a/crates/balancer-core/src/policy.rs
+++ b/crates/balancer-core/src/policy.rs
@@ -1,9 +1,10 @@
-//! The decisions: where, when and how often requests are sent, and which are rejected.
+//! The decision rules: where, when and how often requests are sent, and which requests are rejected.
 //!
-//! Each concern is a module that owns its state privately, with its rules and their constants. It takes what
-//! it needs as arguments (the time, the settings, the fleet, the generator) and returns what it has decided;
-//! [`Balancer`](crate::Balancer) owns the concerns, orders the steps and turns decisions into actions. What a
-//! concern keeps of a single server is a type of its own in [`fleet::ServerState`].
+//! Each component is a module with private state, its rules and their constants. A component takes what it
+//! needs as arguments (the time, the settings, the fleet, the random number generator) and returns its
+//! decisions. [`Balancer`](crate::Balancer) owns the components, calls them in order and turns their
+//! decisions into actions. The state that a component keeps for each server is a type of its own, stored in a
+//! field of [`fleet::ServerState`].
 //!
 //! The deploy file lists every file of this module under `policy`.
 
--- a/crates/balancer-core/src/policy/fleet.rs
+++ b/crates/balancer-core/src/policy/fleet.rs
@@ -1,4 +1,4 @@
-//! The servers that the endpoint list has named, what is kept of each, and how much of their load is seen.
+//! The known servers, the state that is kept for each, and how much of their load this balancer can see.
 
 mod registry;
 mod server;
--- a/crates/balancer-core/src/policy/fleet/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of servers: adding, updating and forgetting them as the endpoint list says.
+//! The registry of servers, which adds, updates and forgets servers as the endpoint list changes.
 
 use super::server::ServerState;
 use super::view::FleetView;
@@ -6,45 +6,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// A removed server is remembered this long: one that a list leaves out by mistake soon returns.
+/// How long the state of a removed server is kept. A server that is missing from a list by mistake soon
+/// returns and should not lose its state.
 const REMOVED_RETENTION: Span = Span::from_secs(10);
 
-/// Position of a server in the registry; valid until the server is forgotten.
+/// The position of a server in the registry. An index is valid until its server is forgotten.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerIndex(usize);
 
-/// All servers that the balancer knows.
+/// All known servers and their states.
 pub struct ServerRegistry {
+    /// The states by position. A free position holds the state of a forgotten server.
     servers: Vec<ServerState>,
-    by_id: BTreeMap<ServerId, ServerIndex>,
-    /// Positions whose server has been forgotten; nothing refers to them.
-    free: Vec<ServerIndex>,
-    /// Servers that the endpoint list says are serving.
+    /// The positions of the known servers.
+    index_by_id: BTreeMap<ServerId, ServerIndex>,
+    /// Positions of forgotten servers, which can be reused because nothing refers to them.
+    free_positions: Vec<ServerIndex>,
+    /// The servers that the endpoint list shows as serving.
     serving: Vec<ServerIndex>,
-    /// The most servers that were serving at a time. A fleet that shrinks for a while makes no view sparse.
+    /// The largest number of servers that were serving at the same time. The view depends on the peak so that
+    /// it does not become sparse when the fleet shrinks for a while.
     peak_serving: usize,
+    /// How much of each server's load this balancer can see.
     view: FleetView,
 }
 
 impl ServerRegistry {
-    /// A registry that knows no server.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         ServerRegistry {
             servers: Vec::new(),
-            by_id: BTreeMap::new(),
-            free: Vec::new(),
+            index_by_id: BTreeMap::new(),
+            free_positions: Vec::new(),
             serving: Vec::new(),
             peak_serving: 0,
             view: FleetView::Dense,
         }
     }
 
-    /// Where the server is, if it is known.
+    /// Returns the index of a server, or `None` if the server is not known.
     pub fn find(&self, server: ServerId) -> Option<ServerIndex> {
-        self.by_id.get(&server).copied()
+        self.index_by_id.get(&server).copied()
     }
 
-    /// The serving servers.
+    /// The indices of the serving servers.
     pub fn serving(&self) -> &[ServerIndex] {
         &self.serving
     }
@@ -54,13 +59,13 @@
         self.serving.iter().map(|&index| &self[index])
     }
 
-    /// How much of a server's load this balancer sees.
+    /// How much of each server's load this balancer can see.
     pub fn view(&self) -> FleetView {
         self.view
     }
 
-    /// Updates the entries of the endpoint list and returns the servers that run a new process. A complete
-    /// list removes what it leaves out.
+    /// Applies entries of the endpoint list and returns the servers that have started a new process. If the
+    /// list is complete, servers that are missing from it are removed.
     pub fn update(&mut self, now: Time, endpoints: Vec<Endpoint>, is_complete: bool) -> Vec<ServerIndex> {
         if is_complete {
             for server in &mut self.servers {
@@ -69,7 +74,7 @@
         }
         let mut restarted = Vec::new();
         for endpoint in endpoints {
-            restarted.extend(self.update_one(now, endpoint));
+            restarted.extend(self.update_endpoint(now, endpoint));
         }
         for server in &mut self.servers {
             let is_removed = server.endpoint.status == EndpointStatus::Removed;
@@ -78,8 +83,8 @@
         restarted
     }
 
-    /// Updates one entry; returns the server if it runs a new process.
-    fn update_one(&mut self, now: Time, endpoint: Endpoint) -> Option<ServerIndex> {
+    /// Applies one entry of the endpoint list; returns the server if it has started a new process.
+    fn update_endpoint(&mut self, now: Time, endpoint: Endpoint) -> Option<ServerIndex> {
         let Some(index) = self.find(endpoint.server) else {
             self.add(ServerState::new(endpoint, now));
             return None;
@@ -93,66 +98,67 @@
         None
     }
 
+    /// Adds a server at a free position or at the end.
     fn add(&mut self, server: ServerState) {
         let id = server.endpoint.server;
-        let index = if let Some(index) = self.free.pop() {
+        let index = if let Some(index) = self.free_positions.pop() {
             self[index] = server;
             index
         } else {
             self.servers.push(server);
             ServerIndex(self.servers.len() - 1)
         };
-        self.by_id.insert(id, index);
+        self.index_by_id.insert(id, index);
     }
 
-    /// Recounts the serving servers.
+    /// Updates the list of serving servers from the endpoint statuses.
     pub fn refresh_serving(&mut self) {
         let indices = (0..self.servers.len()).map(ServerIndex);
         self.serving = indices.filter(|&index| self[index].endpoint.is_serving()).collect();
     }
 
-    /// Decides anew how much this balancer sees, as one of `balancer_count`.
+    /// Updates the view and the peak number of serving servers; `balancer_count` balancers share the fleet.
     pub fn refresh_view(&mut self, balancer_count: u32) {
         self.peak_serving = self.peak_serving.max(self.serving.len());
         self.view = FleetView::of(balancer_count, self.peak_serving);
     }
 
-    /// Servers that were removed a while ago and have no own attempt in flight.
+    /// The servers that were removed at least [`REMOVED_RETENTION`] ago and have no own attempt in flight.
     pub fn removed_long_ago(&self, now: Time) -> Vec<ServerIndex> {
-        let is_old = |server: &ServerState| {
+        let is_expired = |server: &ServerState| {
             server.removed_at.is_some_and(|at| now.since(at) >= REMOVED_RETENTION) && server.in_flight == 0
         };
-        self.by_id.values().copied().filter(|&index| is_old(&self[index])).collect()
+        self.index_by_id.values().copied().filter(|&index| is_expired(&self[index])).collect()
     }
 
-    /// Forgets a server and frees its position. Nothing may refer to it any more; otherwise what was meant
-    /// for it would reach the next server at its position.
+    /// Forgets a server and frees its position. Nothing may refer to the server any more: an outcome that is
+    /// recorded under an old index would be attributed to the next server at the same position.
     pub fn forget(&mut self, index: ServerIndex) {
         let id = self[index].endpoint.server;
-        self.by_id.remove(&id);
-        self.free.push(index);
+        self.index_by_id.remove(&id);
+        self.free_positions.push(index);
     }
 
-    /// Entries in each of its tables.
+    /// The numbers of positions, known servers and free positions.
     #[cfg(test)]
     pub fn sizes(&self) -> [usize; 3] {
-        [self.servers.len(), self.by_id.len(), self.free.len()]
+        [self.servers.len(), self.index_by_id.len(), self.free_positions.len()]
     }
 
-    /// The states of all servers, known or forgotten.
+    /// The states at all positions, including those of forgotten servers.
     #[cfg(test)]
     pub fn all_states(&self) -> impl Iterator<Item = &ServerState> {
         self.servers.iter()
     }
 
-    /// Zones of the servers that are known.
+    /// The zones of the known servers.
     pub fn zones(&self) -> BTreeSet<ZoneId> {
-        self.by_id.values().map(|&index| self[index].endpoint.zone).collect()
+        self.index_by_id.values().map(|&index| self[index].endpoint.zone).collect()
     }
 
-    /// Kinds of machine of the servers that are known.
+    /// The machine kinds of the known servers.
     pub fn machine_kinds(&self) -> BTreeSet<MachineKindId> {
-        self.by_id.values().map(|&index| self[index].endpoint.machine_kind).collect()
+        self.index_by_id.values().map(|&index| self[index].endpoint.machine_kind).collect()
     }
 }
 
--- a/crates/balancer-core/src/policy/fleet/registry/tests.rs
+++ b/crates/balancer-core/src/policy/fleet/registry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how the registry follows the endpoint list.
+//! Tests of how updates of the endpoint list change the registry.
 
 use super::*;
 use crate::Outcome;
@@ -7,7 +7,7 @@
 const OTHER: ServerId = ServerId(2);
 const NOW: Time = Time::from_millis(1_000);
 
-fn with_status(server: ServerId, status: EndpointStatus) -> Endpoint {
+fn endpoint_with_status(server: ServerId, status: EndpointStatus) -> Endpoint {
     Endpoint { status, ..Endpoint::serving(server) }
 }
 
@@ -19,10 +19,10 @@
 }
 
 fn index_of(registry: &ServerRegistry, server: ServerId) -> ServerIndex {
-    registry.find(server).expect("it is known")
+    registry.find(server).expect("the server is known")
 }
 
-fn fail_twice(registry: &mut ServerRegistry, index: ServerIndex) {
+fn record_two_failures(registry: &mut ServerRegistry, index: ServerIndex) {
     for _ in 0..2 {
         registry[index].health.record(NOW, Outcome::ServerError);
     }
@@ -36,7 +36,7 @@
 fn changes_leave_other_servers_as_they_are() {
     let mut registry = registry_with(&[SERVER, OTHER]);
 
-    registry.update(NOW, vec![with_status(SERVER, EndpointStatus::Draining)], false);
+    registry.update(NOW, vec![endpoint_with_status(SERVER, EndpointStatus::Draining)], false);
     registry.refresh_serving();
 
     assert_eq!(serving_ids(&registry), [OTHER]);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn removal_counts_from_when_it_was_first_seen_until_the_server_is_back() {
+fn removal_time_is_kept_until_the_server_is_listed_again() {
     let mut registry = registry_with(&[SERVER]);
     let later = NOW + Span::from_millis(500);
 
@@ -68,24 +68,24 @@
 }
 
 #[test]
-fn new_process_forgets_what_was_learned_but_not_what_is_in_flight() {
+fn new_process_resets_failures_but_keeps_attempts_in_flight() {
     let mut registry = registry_with(&[SERVER]);
     let index = index_of(&registry, SERVER);
     registry[index].in_flight = 3;
-    fail_twice(&mut registry, index);
+    record_two_failures(&mut registry, index);
     let restarted = Endpoint { started_at: Some(NOW), ..Endpoint::serving(SERVER) };
 
     assert_eq!(registry.update(NOW, vec![restarted.clone()], false), [index]);
     assert_eq!(registry[index].in_flight, 3);
     assert_eq!(registry[index].health.failures(), 0);
 
-    fail_twice(&mut registry, index);
+    record_two_failures(&mut registry, index);
     assert_eq!(registry.update(NOW, vec![restarted], false), [], "the same process as before");
     assert_eq!(registry[index].health.failures(), 2);
 }
 
 #[test]
-fn servers_are_removed_long_ago_after_ten_seconds_without_attempts() {
+fn removed_servers_expire_after_ten_seconds_without_attempts_in_flight() {
     let mut registry = registry_with(&[SERVER]);
     let index = index_of(&registry, SERVER);
     registry.update(NOW, Vec::new(), true);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn view_is_sparse_when_balancers_outnumber_the_most_servers_seen() {
+fn view_is_sparse_when_balancers_outnumber_the_peak_of_serving_servers() {
     let mut registry = registry_with(&[SERVER, OTHER]);
 
     registry.refresh_view(2);
@@ -123,7 +123,7 @@
     registry.update(NOW, vec![Endpoint::serving(OTHER)], true);
     registry.refresh_serving();
     registry.refresh_view(2);
-    assert_eq!(registry.view, FleetView::Dense, "a fleet that shrinks makes no view sparse");
+    assert_eq!(registry.view, FleetView::Dense, "the view does not become sparse when the fleet shrinks");
 }
 
 #[test]
--- a/crates/balancer-core/src/policy/fleet/server.rs
+++ b/crates/balancer-core/src/policy/fleet/server.rs
@@ -1,4 +1,4 @@
-//! What a balancer keeps of one server.
+//! The state that a balancer keeps for each server.
 
 use crate::policy::concurrency::ConcurrencyLimit;
 use crate::policy::latency::ServerLatency;
@@ -8,23 +8,31 @@
 use crate::policy::suspicion::ServerSuspicion;
 use crate::{Endpoint, Time};
 
-/// The record of one server: its endpoint, the own attempts it holds, and what each concern keeps of it.
+/// The state of one server: its endpoint, the number of own attempts in flight, and the state that each
+/// component keeps for the server.
 pub struct ServerState {
+    /// The latest entry of the endpoint list for this server.
     pub endpoint: Endpoint,
-    /// Own attempts in flight.
+    /// Number of this balancer's attempts that are in flight at the server.
     pub in_flight: u32,
+    /// The smoothed latency of the server.
     pub latency: ServerLatency,
+    /// The limit on own attempts in flight.
     pub limit: ConcurrencyLimit,
+    /// Failures, responses and ejection.
     pub health: ServerHealth,
+    /// Until when the server is suspected.
     pub suspicion: ServerSuspicion,
+    /// The load in the server's last report.
     pub reported_load: ReportedLoad,
+    /// The work that the server was recently sent while it was warming up.
     pub warm_up_work: WarmUpWork,
-    /// When the endpoint list was first seen without it.
+    /// When an update of the endpoint list first showed the server as removed; `None` for other servers.
     pub(super) removed_at: Option<Time>,
 }
 
 impl ServerState {
-    /// A server of which nothing is known but its endpoint.
+    /// Creates the state of a server of which only the endpoint is known.
     pub fn new(endpoint: Endpoint, now: Time) -> Self {
         ServerState {
             endpoint,
@@ -39,8 +47,8 @@
         }
     }
 
-    /// Forgets the previous process: nothing that was learned of it holds for the new one, but its attempts
-    /// may still be in flight.
+    /// Resets the state after the server has started a new process. Estimates of the previous process do not
+    /// hold for the new one, but attempts that were sent to the previous process may still be in flight.
     pub(super) fn restart(&mut self, endpoint: Endpoint, now: Time) {
         let in_flight = self.in_flight;
         let health = self.health.restarted();
--- a/crates/balancer-core/src/policy/fleet/view.rs
+++ b/crates/balancer-core/src/policy/fleet/view.rs
@@ -1,18 +1,21 @@
-//! How much of the load of a server this balancer sees.
+//! How much of each server's load a balancer can see.
 
-/// How much of the load of a server this balancer sees. Concerns that behave differently in the two views are
-/// told of a change by their `set_view`, and hold both behaviours side by side.
+/// How much of each server's load this balancer can see from its own requests.
+///
+/// Components that behave differently in the two views contain both behaviours. Components that store the
+/// view are notified of a change through their `set_view` method.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetView {
-    /// It meets each server often, so its own counts distinguish servers.
+    /// The balancer sends requests to each server often, so its own requests in flight show which servers are
+    /// more loaded.
     Dense,
-    /// Balancers outnumber servers: most of a server's load is other balancers', and own counts are nearly
-    /// all alike.
+    /// There are more balancers than servers. Most of a server's load comes from other balancers, and the
+    /// numbers of own requests in flight are nearly the same for all servers.
     Sparse,
 }
 
 impl FleetView {
-    /// The view of one of `balancer_count` balancers on a fleet of `server_count`.
+    /// The view of each of `balancer_count` balancers that share a fleet of `server_count` servers.
     pub fn of(balancer_count: u32, server_count: usize) -> Self {
         if balancer_count as usize > server_count {
             FleetView::Sparse
