--- a/crates/balancer-core/src/policy/routing.rs
+++ b/crates/balancer-core/src/policy/routing.rs
@@ -1,5 +1,8 @@
-//! The routing rule: the lightest remembered server against fresh uniform draws, by own requests in flight.
-//! The request goes to the lightest, and that server is remembered (DESIGN page; the paper's (d, m) policy).
+//! The routing rule, which selects the server for an attempt.
+//!
+//! The candidates are servers drawn uniformly at random and servers remembered from earlier requests. The
+//! request is sent to the least loaded candidate, chiefly by the balancer's own requests in flight, and that
+//! server is remembered (DESIGN page; the paper's (d, m) policy).
 
 mod candidates;
 mod context;
--- a/crates/balancer-core/src/policy/routing/candidates.rs
+++ b/crates/balancer-core/src/policy/routing/candidates.rs
@@ -1,4 +1,4 @@
-//! The candidates of a choice: fresh uniform draws and remembered servers.
+//! The candidates for a request: servers drawn uniformly at random, and remembered servers.
 
 use super::context::RoutingContext;
 use super::memory::ServerMemory;
@@ -7,53 +7,62 @@
 use crate::policy::fleet::{FleetView, ServerIndex};
 use fastrand::Rng;
 
-/// Servers are drawn by rejection, with so many tries for each, so that a choice costs the same in a large
-/// fleet.
+/// Maximum number of random servers that are examined per wanted candidate. Servers that are not eligible are
+/// discarded (rejection sampling). The limit keeps the cost of a choice independent of the size of the fleet.
 const TRIES_PER_DRAW: usize = 4;
 
-/// Collects the candidates of one choice.
+/// Collects the candidates for one request.
 pub struct CandidateSearch<'a> {
+    /// The state of the balancer.
     pub context: &'a RoutingContext<'a>,
+    /// The remembered servers.
     pub memory: &'a ServerMemory,
+    /// The request to be sent.
     pub request: &'a RoutingRequest,
+    /// How many servers to draw.
     pub sample: SampleSize,
 }
 
 impl CandidateSearch<'_> {
-    /// Fresh uniform draws from the servers that are open to the request, and the remembered ones that are.
-    /// Only if there are none is each server looked at; those that were tried before come last.
+    /// Returns servers drawn uniformly from the eligible ones, followed by the eligible remembered servers.
+    ///
+    /// If there are none, all serving servers are examined; those that the request has tried before are used
+    /// only if no other server is eligible.
     pub fn find(&self, rng: &mut Rng) -> Vec<ServerIndex> {
         let mut candidates = Vec::with_capacity(MAX_CANDIDATES + 1);
-        self.draw(&mut candidates, rng);
+        self.add_random(&mut candidates, rng);
         self.add_remembered(&mut candidates, rng);
         if candidates.is_empty() {
-            self.draw_from_all(&mut candidates, rng);
+            self.add_from_all_eligible(&mut candidates, rng);
         }
         candidates
     }
 
-    fn draw(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
+    /// Adds servers drawn uniformly at random that are eligible and were not tried before.
+    fn add_random(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
         let serving = self.context.fleet.serving();
         for _ in 0..TRIES_PER_DRAW * self.sample.draws {
             if candidates.len() >= self.sample.draws || serving.is_empty() {
                 return;
             }
             let server = serving[rng.usize(0..serving.len())];
-            let is_open = self.context.is_open_and_untried(server, self.request);
-            if is_open && self.passes_slow_start(server, rng) {
+            let is_eligible = self.context.is_eligible_and_untried(server, self.request);
+            if is_eligible && self.passes_slow_start(server, rng) {
                 candidates.push(server);
             }
         }
     }
 
+    /// Adds the remembered servers, and the last server of the routing key, that are eligible and were not
+    /// tried before.
     fn add_remembered(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
         let remembered = self.memory.servers().iter().copied();
         for server in remembered.chain(self.request.key_server) {
-            if !self.context.is_open_and_untried(server, self.request) {
+            if !self.context.is_eligible_and_untried(server, self.request) {
                 continue;
             }
-            // It passed slow start to be remembered; checked again, it would get the square of its share.
-            // While candidates are polled all of them are checked.
+            // A remembered server passed slow start when it was first chosen. A second check would reduce its
+            // requests to the square of its capacity share. While candidates are polled, all are checked.
             let has_passed = self.memory.contains(server) && !self.context.load_polling.is_enabled();
             if has_passed || self.passes_slow_start(server, rng) {
                 candidates.push(server);
@@ -61,17 +70,21 @@
         }
     }
 
-    fn draw_from_all(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
+    /// Examines all serving servers and adds random ones from those that are eligible.
+    fn add_from_all_eligible(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
         let serving = self.context.fleet.serving().iter().copied();
-        let open = serving.filter(|&server| self.context.is_open(server, self.request));
-        let (tried, untried): (Vec<_>, Vec<_>) = open.partition(|&server| self.request.has_tried(server));
+        let eligible = serving.filter(|&server| self.context.is_open(server, self.request));
+        let (tried, untried): (Vec<_>, Vec<_>) = eligible.partition(|&server| self.request.has_tried(server));
         let pool = if untried.is_empty() { tried } else { untried };
         for _ in 0..self.sample.draws.min(pool.len()) {
             candidates.push(pool[rng.usize(0..pool.len())]);
         }
     }
 
-    /// In a dense view slow start limits the work that a server is sent, and not how often it is a candidate.
+    /// Whether slow start admits a server as a candidate.
+    ///
+    /// In a dense view the result is always `true`, because slow start limits the work that a server is sent
+    /// and not how often the server is a candidate.
     fn passes_slow_start(&self, server: ServerIndex, rng: &mut Rng) -> bool {
         match self.context.view() {
             FleetView::Dense => true,
@@ -80,16 +93,16 @@
                 self.context.slow_start.admits_candidate(
                     self.context.settings,
                     share,
-                    self.competitors(),
+                    self.competitor_count(),
                     rng,
                 )
             }
         }
     }
 
-    /// The candidates that an empty server wins over: all of them where their loads are known, else only
-    /// chance decides.
-    fn competitors(&self) -> usize {
+    /// The number of candidates that a server without load wins against: all of them if their loads are known
+    /// from polls, and otherwise 1, because only chance decides.
+    fn competitor_count(&self) -> usize {
         if self.context.load_polling.is_enabled() {
             MAX_CANDIDATES
         } else {
--- a/crates/balancer-core/src/policy/routing/context.rs
+++ b/crates/balancer-core/src/policy/routing/context.rs
@@ -1,4 +1,4 @@
-//! What the choice of a server looks at.
+//! The state of the balancer that server selection reads.
 
 use crate::policy::fleet::{FleetView, ServerRegistry, ServerState};
 use crate::policy::latency::FleetLatency;
@@ -8,27 +8,36 @@
 use crate::units::{CapacityShare, Probability};
 use crate::{Settings, Time};
 
-/// A read-only view of what the balancer knows, for one choice.
+/// Read-only access to the state of the balancer while it selects one server.
 #[derive(Clone, Copy)]
 pub struct RoutingContext<'a> {
+    /// The current time.
     pub now: Time,
+    /// The settings of the balancer.
     pub settings: &'a Settings,
+    /// All known servers.
     pub fleet: &'a ServerRegistry,
+    /// The latencies of request classes and machine kinds.
     pub latency: &'a FleetLatency,
+    /// The current admission probability, which also scales the concurrency limits.
     pub admission: Probability,
+    /// How servers that are warming up compare with warm servers.
     pub slow_start: &'a SlowStart,
+    /// Which servers and zones are suspected.
     pub suspicion: &'a SuspicionTracker,
+    /// The mean of the reported loads.
     pub load_reports: &'a LoadReports,
+    /// Whether candidates are polled for their load.
     pub load_polling: &'a LoadPolling,
 }
 
 impl RoutingContext<'_> {
-    /// How much of a server's load this balancer sees.
+    /// How much of each server's load this balancer can see.
     pub fn view(&self) -> FleetView {
         self.fleet.view()
     }
 
-    /// The share of its capacity that a server is known to have.
+    /// The share of its full capacity that a server is known to have now.
     pub fn capacity_share(&self, server: &ServerState) -> CapacityShare {
         capacity_share(self.settings, &server.endpoint, self.now)
     }
--- a/crates/balancer-core/src/policy/routing/eligibility.rs
+++ b/crates/balancer-core/src/policy/routing/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which servers are open to a request.
+//! Which servers are eligible for a request.
 
 use super::context::RoutingContext;
 use super::request::RoutingRequest;
@@ -8,25 +8,25 @@
 use crate::Effect;
 
 impl RoutingContext<'_> {
-    /// Whether a server may be sent this request now.
+    /// Whether a server is eligible: the request may be sent to it now.
     pub fn is_open(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
         let server = &self.fleet[index];
         if !is_in_scope(server, request.permission.scope) || !server.endpoint.is_serving() {
             return false;
         }
         match self.view() {
-            FleetView::Dense => self.is_open_in_dense_view(server, request),
+            FleetView::Dense => self.is_eligible_in_dense_view(server, request),
             FleetView::Sparse => !server.limit.is_backing_off(self.now),
         }
     }
 
-    /// Whether a server is open to this request, and none of its attempts went there before.
-    pub fn is_open_and_untried(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
+    /// Whether a server is eligible and no earlier attempt of the request was sent to it.
+    pub fn is_eligible_and_untried(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
         !request.has_tried(index) && self.is_open(index, request)
     }
 
-    /// Ejection, slow start and the concurrency limit decide.
-    fn is_open_in_dense_view(&self, server: &ServerState, request: &RoutingRequest) -> bool {
+    /// Whether ejection, slow start and the concurrency limit permit sending the request to a server.
+    fn is_eligible_in_dense_view(&self, server: &ServerState, request: &RoutingRequest) -> bool {
         let is_idempotent = self.settings.class(request.class).effect == Effect::Idempotent;
         if !server.health.allows_request(self.now, is_idempotent) {
             return false;
@@ -40,6 +40,7 @@
     }
 }
 
+/// Whether the rules against duplicated effects permit another attempt at this server.
 fn is_in_scope(server: &ServerState, scope: RetryScope) -> bool {
     match scope {
         RetryScope::Nowhere => false,
--- a/crates/balancer-core/src/policy/routing/memory.rs
+++ b/crates/balancer-core/src/policy/routing/memory.rs
@@ -1,17 +1,20 @@
-//! The memory of the routing rule: the servers that were chosen last, and the server of each routing key.
+//! The memory of the routing rule: the servers chosen most recently, and the last server of each routing key.
 
 use crate::policy::fleet::ServerIndex;
 use crate::RoutingKey;
 use std::collections::BTreeMap;
 
-/// Routing keys remembered; beyond that all are forgotten, which costs each of them one uncached run.
-const MAX_KEYS: usize = 10_000;
+/// Maximum number of remembered routing keys. When it is reached, all keys are forgotten; each of them then
+/// costs one request that its server serves without a cache.
+const MAX_ROUTING_KEYS: usize = 10_000;
 
-/// The remembered servers, most recently chosen first, and the server that each routing key was last sent to.
+/// The servers that were chosen most recently, and the server that each routing key was last sent to.
 #[derive(Default)]
 pub struct ServerMemory {
+    /// The remembered servers, most recently chosen first, each once.
     servers: Vec<ServerIndex>,
-    keys: BTreeMap<RoutingKey, ServerIndex>,
+    /// The server that each routing key was last sent to.
+    server_by_key: BTreeMap<RoutingKey, ServerIndex>,
 }
 
 impl ServerMemory {
@@ -25,44 +28,45 @@
         self.servers.contains(&server)
     }
 
-    /// The server that a key was last sent to.
+    /// The server that a routing key was last sent to.
     pub fn server_of_key(&self, key: RoutingKey) -> Option<ServerIndex> {
-        self.keys.get(&key).copied()
+        self.server_by_key.get(&key).copied()
     }
 
-    /// Routing keys remembered.
+    /// The number of remembered routing keys.
     #[cfg(test)]
     pub fn key_count(&self) -> usize {
-        self.keys.len()
+        self.server_by_key.len()
     }
 
-    /// Remembers the chosen server and returns those that it displaces from the `capacity` places.
+    /// Remembers the chosen server as the most recent one. Forgets and returns the least recently chosen
+    /// servers if there are more than `capacity`.
     pub fn remember(&mut self, server: ServerIndex, capacity: usize) -> Vec<ServerIndex> {
         self.forget(server);
         self.servers.insert(0, server);
         self.servers.split_off(capacity.min(self.servers.len()))
     }
 
-    /// Remembers the server that a key was sent to.
+    /// Remembers the server that a routing key is sent to.
     pub fn remember_key(&mut self, key: RoutingKey, server: ServerIndex) {
-        if self.keys.len() >= MAX_KEYS {
-            self.keys.clear();
+        if self.server_by_key.len() >= MAX_ROUTING_KEYS {
+            self.server_by_key.clear();
         }
-        self.keys.insert(key, server);
+        self.server_by_key.insert(key, server);
     }
 
-    /// Forgets a server; its routing keys stay.
+    /// Forgets a server, but not the routing keys that were last sent to it.
     pub fn forget(&mut self, server: ServerIndex) {
         self.retain(|remembered| remembered != server);
     }
 
-    /// Forgets a server and its routing keys.
+    /// Forgets a server and the routing keys that were last sent to it.
     pub fn forget_with_keys(&mut self, server: ServerIndex) {
         self.forget(server);
-        self.keys.retain(|_, of_key| *of_key != server);
+        self.server_by_key.retain(|_, key_server| *key_server != server);
     }
 
-    /// Forgets the servers for which `keep` is false; their routing keys stay.
+    /// Forgets the servers for which `keep` returns `false`, but not their routing keys.
     pub fn retain(&mut self, keep: impl Fn(ServerIndex) -> bool) {
         self.servers.retain(|&server| keep(server));
     }
--- a/crates/balancer-core/src/policy/routing/request.rs
+++ b/crates/balancer-core/src/policy/routing/request.rs
@@ -1,4 +1,4 @@
-//! What the choice of a server must know of its request.
+//! The properties of a request that server selection depends on.
 
 use super::context::RoutingContext;
 use super::memory::ServerMemory;
@@ -8,50 +8,55 @@
 use crate::units::Work;
 use crate::{ClassId, RequestId, RoutingKey};
 
-/// Bounds of a request's work, as a multiple of what is usual for its class, when it is weighed against a
-/// slow machine.
+/// Lower bound of the relative work in the slowness sensitivity of a request. Relative work is the request's
+/// work divided by the typical work of its class.
 const MIN_RELATIVE_WORK: f64 = 1.0;
+/// Upper bound of the relative work in the slowness sensitivity of a request.
 const MAX_RELATIVE_WORK: f64 = 9.0;
 
-/// What the choice of a server must know of its request.
+/// The properties of a request that server selection depends on.
 pub struct RoutingRequest {
+    /// The id of the request.
     pub id: RequestId,
+    /// The class of the request.
     pub class: ClassId,
+    /// What the rules against duplicated effects still permit for the request.
     pub permission: AttemptPermission,
-    /// The work to expect of it.
+    /// The estimated work of the request.
     pub work: Work,
-    /// How much its work weighs a machine's slowness; 1 for the usual work of its class.
-    pub work_weight: f64,
-    /// Its routing key, where servers serve a known one with less work.
-    pub key: Option<RoutingKey>,
-    /// The last server of that key.
+    /// How strongly selection avoids slow servers: 1 for a request with at most the typical work of its
+    /// class, and more for a request with more work.
+    pub slowness_sensitivity: f64,
+    /// The routing key, if servers serve a known key with less work; otherwise `None`.
+    pub routing_key: Option<RoutingKey>,
+    /// The server that the routing key was last sent to.
     pub key_server: Option<ServerIndex>,
-    /// Servers that its attempts so far were sent to.
-    pub tried: Vec<ServerIndex>,
+    /// The servers of all attempts so far.
+    pub tried_servers: Vec<ServerIndex>,
 }
 
 impl RoutingRequest {
-    /// What the choice must know of a request now.
+    /// Collects the properties of an active request as they are now.
     pub fn new(context: &RoutingContext<'_>, memory: &ServerMemory, active: &ActiveRequest) -> Self {
         let class = active.class();
         let work = context.latency.estimated_work(context.settings, &active.request);
-        let usual_work_ms = context.latency.typical_latency_ms(context.settings, class);
-        let relative_work = work.as_millis_f64() / usual_work_ms;
-        let key = active.request.routing_key.filter(|_| context.settings.has_key_affinity);
+        let typical_work_ms = context.latency.typical_latency_ms(context.settings, class);
+        let relative_work = work.as_millis_f64() / typical_work_ms;
+        let routing_key = active.request.routing_key.filter(|_| context.settings.has_key_affinity);
         RoutingRequest {
             id: active.request.id,
             class,
             permission: AttemptPermission::of(context.settings, active, context.now),
             work,
-            work_weight: relative_work.clamp(MIN_RELATIVE_WORK, MAX_RELATIVE_WORK).sqrt(),
-            key,
-            key_server: key.and_then(|key| memory.server_of_key(key)),
-            tried: active.attempts.iter().map(|attempt| attempt.server).collect(),
+            slowness_sensitivity: relative_work.clamp(MIN_RELATIVE_WORK, MAX_RELATIVE_WORK).sqrt(),
+            routing_key,
+            key_server: routing_key.and_then(|key| memory.server_of_key(key)),
+            tried_servers: active.attempts.iter().map(|attempt| attempt.server).collect(),
         }
     }
 
-    /// Whether an attempt of it was sent to this server before.
+    /// Whether an earlier attempt of the request was sent to this server.
     pub fn has_tried(&self, server: ServerIndex) -> bool {
-        self.tried.contains(&server)
+        self.tried_servers.contains(&server)
     }
 }
--- a/crates/balancer-core/src/policy/routing/router.rs
+++ b/crates/balancer-core/src/policy/routing/router.rs
@@ -1,4 +1,4 @@
-//! The routing rule as a whole: candidates, choice and memory.
+//! The router, which combines candidate search, selection and memory.
 
 use super::candidates::CandidateSearch;
 use super::context::RoutingContext;
@@ -9,19 +9,19 @@
 use crate::policy::fleet::{FleetView, ServerIndex, ServerRegistry};
 use crate::policy::requests::ActiveRequest;
 
-/// Chooses servers and remembers its choices.
+/// Selects servers for requests and remembers the servers that it selected.
 #[derive(Default)]
 pub struct Router {
     memory: ServerMemory,
 }
 
 impl Router {
-    /// What the choice must know of a request now.
+    /// Collects the properties of an active request that server selection depends on.
     pub fn describe(&self, context: &RoutingContext<'_>, active: &ActiveRequest) -> RoutingRequest {
         RoutingRequest::new(context, &self.memory, active)
     }
 
-    /// The candidates for a request; empty if no server is open to it.
+    /// Returns the candidates for a request. The list is empty if no server is eligible.
     pub fn candidates(
         &self,
         context: &RoutingContext<'_>,
@@ -32,7 +32,7 @@
         CandidateSearch { context, memory: &self.memory, request, sample }.find(rng)
     }
 
-    /// The lightest of the candidates; `None` if there are none.
+    /// Returns the least loaded of the candidates; `None` if there are none.
     pub fn lightest(
         &self,
         context: &RoutingContext<'_>,
@@ -40,26 +40,29 @@
         candidates: &[ServerIndex],
         rng: &mut fastrand::Rng,
     ) -> Option<ServerIndex> {
-        Ranking { context, memory: &self.memory, request }.lightest(candidates, rng)
+        Ranking { context, memory: &self.memory, request }.least_loaded(candidates, rng)
     }
 
-    /// Remembers the server that a request is sent to; returns the servers that it displaces.
+    /// Remembers the server that a request is sent to, also for the request's routing key. Returns the
+    /// servers that are forgotten because too many are remembered.
     pub fn remember(
         &mut self,
         server: ServerIndex,
         request: &RoutingRequest,
         view: FleetView,
     ) -> Vec<ServerIndex> {
-        if let Some(key) = request.key {
+        if let Some(key) = request.routing_key {
             self.memory.remember_key(key, server);
         }
         self.memory.remember(server, SampleSize::of(view).remembered)
     }
 
-    /// Whether the idle connections to a server are to be closed. Fresh draws range over the whole fleet, so
-    /// open connections would grow to balancers times servers and fill the servers' tables
-    /// (docs/findings/fleet-connections.md). In a sparse view a server is met too seldom to be worth a place
-    /// in each balancer's: only the connections to remembered servers are kept.
+    /// Whether the idle connections to a server should be closed.
+    ///
+    /// Candidates are drawn from the whole fleet. If all connections stayed open, their number would grow to
+    /// the number of balancers times the number of servers, and the servers' connection tables would fill up
+    /// (docs/findings/fleet-connections.md). In a sparse view, a balancer sends to a given server too rarely
+    /// to occupy an entry in its table, so only the connections to remembered servers are kept.
     pub fn releases_connections(&self, fleet: &ServerRegistry, server: ServerIndex) -> bool {
         match fleet.view() {
             FleetView::Dense => false,
@@ -67,22 +70,22 @@
         }
     }
 
-    /// Forgets a server; the routing keys that were sent to it stay.
+    /// Forgets a server, but not the routing keys that were last sent to it.
     pub fn forget(&mut self, server: ServerIndex) {
         self.memory.forget(server);
     }
 
-    /// Forgets a server and the routing keys that were sent to it.
+    /// Forgets a server and the routing keys that were last sent to it.
     pub fn forget_with_keys(&mut self, server: ServerIndex) {
         self.memory.forget_with_keys(server);
     }
 
-    /// Forgets the servers for which `keep` is false; routing keys stay.
+    /// Forgets the servers for which `keep` returns `false`, but not their routing keys.
     pub fn retain(&mut self, keep: impl Fn(ServerIndex) -> bool) {
         self.memory.retain(keep);
     }
 
-    /// Routing keys remembered.
+    /// The number of remembered routing keys.
     #[cfg(test)]
     pub fn key_count(&self) -> usize {
         self.memory.key_count()
--- a/crates/balancer-core/src/policy/routing/sample.rs
+++ b/crates/balancer-core/src/policy/routing/sample.rs
@@ -1,30 +1,32 @@
-//! How many servers a choice compares.
+//! How many servers are compared for each request.
 
 use crate::policy::fleet::FleetView;
 
-/// How many servers a choice compares, by view.
+/// The number of servers that are compared for each request.
 #[derive(Debug, Clone, Copy)]
 pub struct SampleSize {
-    /// Remembered servers (the paper's m).
+    /// Number of remembered servers (the paper's m).
     pub remembered: usize,
-    /// Fresh draws (the paper's d; it asks for d >= m).
+    /// Number of servers drawn uniformly at random (the paper's d, which must not be below m).
     pub draws: usize,
 }
 
-const DENSE: SampleSize = SampleSize { remembered: 1, draws: 3 };
-/// More are remembered in a sparse view: a connection that stays open saves its server the work of a
-/// handshake (docs/findings/fleet-handshakes.md).
-const SPARSE: SampleSize = SampleSize { remembered: 6, draws: 6 };
+/// The sample size in a dense view.
+const DENSE_SAMPLE_SIZE: SampleSize = SampleSize { remembered: 1, draws: 3 };
+/// The sample size in a sparse view. More servers are remembered than in a dense view: each connection that
+/// stays open saves its server the work of a handshake (docs/findings/fleet-handshakes.md).
+const SPARSE_SAMPLE_SIZE: SampleSize = SampleSize { remembered: 6, draws: 6 };
 
-/// The most candidates of one choice, in any view.
-pub const MAX_CANDIDATES: usize = SPARSE.remembered + SPARSE.draws;
+/// The largest number of drawn and remembered candidates for one request, in any view. The last server of the
+/// request's routing key may come in addition.
+pub const MAX_CANDIDATES: usize = SPARSE_SAMPLE_SIZE.remembered + SPARSE_SAMPLE_SIZE.draws;
 
 impl SampleSize {
-    /// The sample size of a view.
+    /// The sample size for a view.
     pub fn of(view: FleetView) -> Self {
         match view {
-            FleetView::Dense => DENSE,
-            FleetView::Sparse => SPARSE,
+            FleetView::Dense => DENSE_SAMPLE_SIZE,
+            FleetView::Sparse => SPARSE_SAMPLE_SIZE,
         }
     }
 }
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -1,4 +1,4 @@
-//! Which of the candidates is lightest.
+//! Selection of the least loaded candidate.
 
 use super::context::RoutingContext;
 use super::memory::ServerMemory;
@@ -7,92 +7,110 @@
 use crate::policy::suspicion::SUSPECTED_SHARE;
 use crate::{EndpointWeights, Settings};
 
-/// A server in another zone, or a new connection, weighs this much more for each 1% of a request that it
-/// costs.
-const WEIGHT_PER_PERCENT: f64 = 0.25;
-const PERCENT: f64 = 100.0;
-/// Crossing zones weighs less than one more request at an idle server; otherwise its cost would fill a zone.
-const MAX_CROSS_ZONE_WEIGHT: f64 = 1.8;
-/// The work of a handshake, in requests: operators count 25 to 40 ms against 87 to 180 ms.
-const HANDSHAKE_WORK: f64 = 0.25;
-/// A server wins the draw to be remembered and again at each choice from memory; what is drawn settles in
-/// proportion to its estimated capacity if the draw is weighted by this power of it
-/// (docs/findings/fleet-handshakes.md).
-const CAPACITY_POWER: f64 = 0.6;
-/// Estimated capacity falls with this power of latency; with 1 slow machines time out while fast ones idle.
-const LATENCY_POWER: i32 = 3;
-/// A load report decays over about this many milliseconds.
+/// Increase of the cross-zone factor and the open-connection factor for each percent of a request that a zone
+/// crossing or a handshake costs.
+const FACTOR_INCREASE_PER_PERCENT: f64 = 0.25;
+/// Converts a fraction to percent.
+const PERCENT_FACTOR: f64 = 100.0;
+/// Upper bound of the factor on the load of a server in another zone. With a factor above 2, local servers
+/// would get a second request before idle servers in other zones get their first, and the local zone would
+/// fill up.
+const MAX_CROSS_ZONE_FACTOR: f64 = 1.8;
+/// The work of a handshake as a fraction of the work of a request. Operators report 25 to 40 ms for a
+/// handshake and 87 to 180 ms for a request.
+const HANDSHAKE_WORK_FRACTION: f64 = 0.25;
+/// Exponent of a server's estimated capacity in its tie-break weight. Capacity takes effect twice: a server
+/// must win a tie-break to be remembered, and then wins further tie-breaks as a remembered server. With this
+/// exponent, requests settle in proportion to estimated capacity (docs/findings/fleet-handshakes.md).
+const CAPACITY_EXPONENT: f64 = 0.6;
+/// Exponent of the latency ratio by which estimated capacity is divided. With an exponent of 1, slow servers
+/// time out while fast servers idle.
+const LATENCY_EXPONENT: i32 = 3;
+/// Time constant of the exponential decay of a load report's weight.
 const REPORT_DECAY_MS: f64 = 2000.0;
-/// The load of a routing key's last server is multiplied by this: it wins unless it is clearly more loaded.
-const KEY_SERVER_WEIGHT: f64 = 0.7;
-/// A machine's slowness counts with this power, times the request's work weight.
-const SLOWNESS_POWER: f64 = 0.5;
-/// Loads that differ by less than this (as a logarithm) are equal: a quarter is well within chance
-/// (docs/findings/ties.md).
-const EQUAL_LOADS: f64 = 0.25;
+/// Factor on the slowness of the last server of a routing key, so that this server is chosen unless it is
+/// clearly more loaded than the other candidates.
+const KEY_SERVER_FACTOR: f64 = 0.7;
+/// Exponent of a server's slowness in its load; multiplied by the slowness sensitivity of the request.
+const SLOWNESS_EXPONENT: f64 = 0.5;
+/// Step size to which the natural logarithm of a load is rounded. Loads that round to the same step count as
+/// equal: a difference of a quarter is well within random variation (docs/findings/ties.md).
+const LOG_LOAD_STEP: f64 = 0.25;
 
-/// How a candidate compares: the least rank wins.
+/// The sort key of a candidate: fields are compared in order, and the candidate with the lowest rank is
+/// selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
+    /// The load by the balancer's own requests in flight.
     own_load: i64,
+    /// The load by the server's reports.
     reported_load: i64,
-    /// A random number of zero or more, as the bits of an `f64`, which compare as the number does.
+    /// A random number of zero or more, as the bits of an `f64`. The bits have the same order as the numbers.
     tie_break: u64,
 }
 
-/// Ranks the candidates for a request.
+/// Ranks the candidates for one request.
 pub struct Ranking<'a> {
+    /// The state of the balancer.
     pub context: &'a RoutingContext<'a>,
+    /// The remembered servers.
     pub memory: &'a ServerMemory,
+    /// The request to be sent.
     pub request: &'a RoutingRequest,
 }
 
 impl Ranking<'_> {
-    /// The candidate with the least own load. Load reports decide ties, and a random draw what is left.
-    pub fn lightest(&self, candidates: &[ServerIndex], rng: &mut fastrand::Rng) -> Option<ServerIndex> {
+    /// Returns the candidate with the lowest own load. Ties are broken by load reports, then at random.
+    pub fn least_loaded(&self, candidates: &[ServerIndex], rng: &mut fastrand::Rng) -> Option<ServerIndex> {
         candidates.iter().copied().min_by_key(|&candidate| self.rank(candidate, rng.f64()))
     }
 
-    fn rank(&self, candidate: ServerIndex, draw: f64) -> CandidateRank {
+    /// Ranks a candidate; `random` is uniform from 0 (included) to 1 (excluded).
+    fn rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
         match self.context.view() {
-            FleetView::Dense => self.dense_rank(candidate, draw),
-            FleetView::Sparse => self.sparse_rank(candidate, draw),
+            FleetView::Dense => self.dense_rank(candidate, random),
+            FleetView::Sparse => self.sparse_rank(candidate, random),
         }
     }
 
-    /// In a dense view: own requests in flight, scaled by what the machine costs (how slow it has shown
-    /// itself, a priced crossing of zones, a known routing key).
-    fn dense_rank(&self, candidate: ServerIndex, draw: f64) -> CandidateRank {
+    /// Ranks a candidate in a dense view: by own requests in flight, multiplied by factors for the slowness
+    /// of the server, the cost of crossing zones and a known routing key. The product is rounded on a
+    /// logarithmic scale.
+    fn dense_rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
         let server = &self.context.fleet[candidate];
-        let key_weight = if self.request.key_server == Some(candidate) { KEY_SERVER_WEIGHT } else { 1.0 };
-        let slowness = server.latency.relative_slowness() * key_weight;
-        let slowness_weight = slowness.powf(SLOWNESS_POWER * self.request.work_weight);
-        let load = (own_requests(server) * zone_weight(self.context.settings, server) * slowness_weight).ln();
+        let key_factor = if self.request.key_server == Some(candidate) { KEY_SERVER_FACTOR } else { 1.0 };
+        let slowness = server.latency.relative_slowness() * key_factor;
+        let slowness_factor = slowness.powf(SLOWNESS_EXPONENT * self.request.slowness_sensitivity);
+        let load = (own_requests(server) * zone_factor(self.context.settings, server) * slowness_factor).ln();
         CandidateRank {
-            own_load: (load / EQUAL_LOADS).round() as i64,
-            reported_load: server.reported_load.known().round() as i64,
-            tie_break: draw.to_bits(),
+            own_load: (load / LOG_LOAD_STEP).round() as i64,
+            reported_load: server.reported_load.last_known().round() as i64,
+            tie_break: random.to_bits(),
         }
     }
 
-    /// In a sparse view: plain counts, and the draw is weighted by the estimated capacity of each candidate
-    /// and, where an open connection saves a handshake, by the cost of that.
-    fn sparse_rank(&self, candidate: ServerIndex, draw: f64) -> CandidateRank {
+    /// Ranks a candidate in a sparse view: by own requests in flight without factors. The random tie-break is
+    /// weighted by the candidate's estimated capacity and, for a remembered server, by the cost of the
+    /// handshake that its open connection saves.
+    fn sparse_rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
         let server = &self.context.fleet[candidate];
         let is_remembered = self.memory.contains(candidate);
-        let connection_weight =
-            if is_remembered { saved_handshake_weight(self.context.settings) } else { 1.0 };
-        let weight = self.estimated_capacity(server) * connection_weight;
+        let connection_factor =
+            if is_remembered { open_connection_factor(self.context.settings) } else { 1.0 };
+        let weight = self.capacity_weight(server) * connection_factor;
         let is_polled = self.context.load_polling.is_enabled();
         CandidateRank {
             own_load: i64::from(server.in_flight),
-            reported_load: if is_polled { server.reported_load.known().round() as i64 } else { 0 },
-            tie_break: (-(1.0 - draw).ln() / weight).to_bits(),
+            reported_load: if is_polled { server.reported_load.last_known().round() as i64 } else { 0 },
+            // An exponentially distributed number with rate `weight`. The probability that it is the lowest
+            // number of all candidates is proportional to the weight.
+            tie_break: (-(1.0 - random).ln() / weight).to_bits(),
         }
     }
 
-    /// The capacity of a server relative to others: its listed size over its expected load and latency.
-    fn estimated_capacity(&self, server: &ServerState) -> f64 {
+    /// The tie-break weight of a server by its estimated capacity, which is the listed size divided by the
+    /// expected load and latency. The weight of a suspected server is reduced.
+    fn capacity_weight(&self, server: &ServerState) -> f64 {
         let context = self.context;
         let size = listed_size(context.settings, server);
         let mean_load = context.load_reports.mean_load();
@@ -100,12 +118,12 @@
         let ratio = context.latency.expected_ratio(server.endpoint.machine_kind, &server.latency);
         let is_suspected = context.suspicion.is_suspected(context.now, server);
         let share = if is_suspected { SUSPECTED_SHARE } else { 1.0 };
-        share * (size / (1.0 + load) / ratio.value().powi(LATENCY_POWER)).powf(CAPACITY_POWER)
+        share * (size / (1.0 + load) / ratio.value().powi(LATENCY_EXPONENT)).powf(CAPACITY_EXPONENT)
     }
 }
 
-/// Own requests at the server, the new one included. An ejected server that was drawn for its probe goes
-/// first: by its load it would never be chosen.
+/// The number of own requests at the server, including the one to be sent. The number is zero for an ejected
+/// server, which is a candidate only if a probe is due: by its load it would never be selected.
 fn own_requests(server: &ServerState) -> f64 {
     if server.health.is_ejected() {
         return 0.0;
@@ -113,22 +131,22 @@
     f64::from(server.in_flight) + 1.0
 }
 
-/// What a server weighs for the zone that it is in.
-fn zone_weight(settings: &Settings, server: &ServerState) -> f64 {
+/// The factor on a server's load for the zone that the server is in: 1 in the local zone.
+fn zone_factor(settings: &Settings, server: &ServerState) -> f64 {
     if server.endpoint.zone == settings.local_zone {
         return 1.0;
     }
-    let crossing = 1.0 + PERCENT * WEIGHT_PER_PERCENT * settings.costs.cross_zone;
-    crossing.clamp(1.0, MAX_CROSS_ZONE_WEIGHT)
+    let factor = 1.0 + PERCENT_FACTOR * FACTOR_INCREASE_PER_PERCENT * settings.costs.cross_zone;
+    factor.clamp(1.0, MAX_CROSS_ZONE_FACTOR)
 }
 
-/// How much more likely an open connection makes a server, for the handshake that it saves.
-fn saved_handshake_weight(settings: &Settings) -> f64 {
-    let handshake_cost = settings.costs.handshake + HANDSHAKE_WORK * settings.costs.wasted_work;
-    1.0 + PERCENT * WEIGHT_PER_PERCENT * handshake_cost
+/// The factor on the tie-break weight of a server with an open connection, for the handshake that this saves.
+fn open_connection_factor(settings: &Settings) -> f64 {
+    let handshake_cost = settings.costs.handshake + HANDSHAKE_WORK_FRACTION * settings.costs.wasted_work;
+    1.0 + PERCENT_FACTOR * FACTOR_INCREASE_PER_PERCENT * handshake_cost
 }
 
-/// The size of the server where the endpoint list tells it; otherwise all are alike.
+/// The size of a server according to the endpoint list; 1 if the list gives no valid size.
 fn listed_size(settings: &Settings, server: &ServerState) -> f64 {
     let weight = server.endpoint.weight;
     let has_size = settings.endpoint_weights == EndpointWeights::Size;
--- a/crates/balancer-core/src/policy/server_load.rs
+++ b/crates/balancer-core/src/policy/server_load.rs
@@ -1,4 +1,4 @@
-//! The load that servers report: reading reports, and polling candidates for their load before one is chosen.
+//! Loads that servers report, and polls of candidates for their load before one of them is selected.
 
 mod load_reports;
 mod polling;
--- a/crates/balancer-core/src/policy/server_load/load_reports/tests.rs
+++ b/crates/balancer-core/src/policy/server_load/load_reports/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of which loads are plausible.
+//! Tests of which reported loads are plausible.
 
 use super::*;
 
@@ -14,5 +14,5 @@
     reports.record(&settings, &mut server, &LoadReport::new(vec![9999.0]), NOW);
     reports.record(&settings, &mut server, &LoadReport::new(vec![10_000.0]), NOW);
 
-    assert_eq!(server.known(), 9999.0);
+    assert_eq!(server.last_known(), 9999.0);
 }
--- a/crates/balancer-core/src/policy/server_load/polling.rs
+++ b/crates/balancer-core/src/policy/server_load/polling.rs
@@ -1,26 +1,28 @@
-//! Polling candidates for their load before one of them is chosen.
+//! Polls candidates for their load before one of them is selected.
 
-use super::load_reports::is_load;
+use super::load_reports::is_load_field;
 use crate::policy::fleet::{FleetView, ServerIndex, ServerRegistry};
 use crate::policy::routing::MAX_CANDIDATES;
 use crate::{LoadReportSource, RequestId, Settings, Span, Time};
 
-/// Candidates are polled where that costs a request this much at most.
-const MAX_POLL_COST: f64 = 0.01;
-/// The choice waits for answers for this share of the request's latency objective at most.
-const POLL_TIME_SHARE: f64 = 0.05;
+/// Upper bound of the cost of polling the candidates of a request, as a fraction of the request's value.
+/// Polling is disabled if it would cost more.
+const MAX_POLL_COST_FRACTION: f64 = 0.01;
+/// Upper bound of the duration of a poll, as a fraction of the request's latency objective.
+const MAX_POLL_TIME_FRACTION: f64 = 0.05;
 
 /// A request whose candidates are being polled for their load.
 pub struct LoadPoll {
     request: RequestId,
+    /// The servers that are polled, each once.
     candidates: Vec<ServerIndex>,
     started_at: Time,
-    /// The choice waits no longer than this.
-    answer_by: Time,
+    /// When the poll ends, even if not all candidates have reported.
+    deadline: Time,
 }
 
 impl LoadPoll {
-    /// The request.
+    /// The request that waits for the poll to end.
     pub fn request(&self) -> RequestId {
         self.request
     }
@@ -30,12 +32,12 @@
         &self.candidates
     }
 
-    /// When the poll ends at the latest.
+    /// When the poll ends, even if not all candidates have reported.
     pub fn answer_by(&self) -> Time {
-        self.answer_by
+        self.deadline
     }
 
-    /// The candidates that have reported since the poll began, or all of them if none has.
+    /// The candidates that have reported since the poll started, or all candidates if none has.
     pub fn best_candidates(&self, fleet: &ServerRegistry) -> Vec<ServerIndex> {
         let reported: Vec<ServerIndex> =
             self.candidates.iter().copied().filter(|&server| self.has_reported(fleet, server)).collect();
@@ -45,71 +47,77 @@
         reported
     }
 
+    /// Whether all candidates have reported or the deadline of the poll has passed.
     fn is_finished(&self, now: Time, fleet: &ServerRegistry) -> bool {
-        now >= self.answer_by || self.candidates.iter().all(|&server| self.has_reported(fleet, server))
+        now >= self.deadline || self.candidates.iter().all(|&server| self.has_reported(fleet, server))
     }
 
+    /// Whether a candidate has reported its load since the poll started.
     fn has_reported(&self, fleet: &ServerRegistry, candidate: ServerIndex) -> bool {
-        fleet[candidate].reported_load.is_reported_since(self.started_at)
+        fleet[candidate].reported_load.has_report_since(self.started_at)
     }
 }
 
-/// The open polls, and whether candidates are polled at all.
+/// The unfinished polls, and whether candidates are polled at all.
 #[derive(Default)]
 pub struct LoadPolling {
     is_enabled: bool,
+    /// The unfinished polls, in the order in which they were started.
     polls: Vec<LoadPoll>,
 }
 
 impl LoadPolling {
-    /// Follows a change of the view. Candidates are polled where own counts say little, and load reports come
-    /// with health checks only, contain a load and cost next to nothing.
+    /// Enables or disables polling after a change of the view.
+    ///
+    /// Candidates are polled in a sparse view, where the balancer's own requests in flight say little about a
+    /// server's load, if load reports come only with health checks, contain a load and cost little.
     pub fn set_view(&mut self, view: FleetView, settings: &Settings) {
         self.is_enabled = match view {
             FleetView::Dense => false,
-            FleetView::Sparse => is_worth_its_cost(settings),
+            FleetView::Sparse => is_polling_worthwhile(settings),
         };
     }
 
-    /// Whether candidates are polled before one of them is chosen.
+    /// Whether candidates are polled before one of them is selected.
     pub fn is_enabled(&self) -> bool {
         self.is_enabled
     }
 
-    /// Opens a poll of the candidates of a request, whose class has this objective and whose client waits
-    /// until `deadline`.
+    /// Starts a poll of the candidates for a request with the given latency objective and deadline.
     pub fn start(
         &mut self,
         request: RequestId,
         mut candidates: Vec<ServerIndex>,
         now: Time,
         objective: Span,
-        deadline: Time,
+        request_deadline: Time,
     ) -> &LoadPoll {
         candidates.sort_unstable();
         candidates.dedup();
-        let answer_by = (now + objective * POLL_TIME_SHARE).min(deadline);
-        self.polls.push(LoadPoll { request, candidates, started_at: now, answer_by });
+        let deadline = (now + objective * MAX_POLL_TIME_FRACTION).min(request_deadline);
+        self.polls.push(LoadPoll { request, candidates, started_at: now, deadline });
         &self.polls[self.polls.len() - 1]
     }
 
-    /// Closes the polls that all candidates have answered or whose time is over, and returns them.
+    /// Removes and returns the polls that are finished: all candidates have reported, or the deadline of the
+    /// poll has passed.
     pub fn take_finished(&mut self, now: Time, fleet: &ServerRegistry) -> Vec<LoadPoll> {
         let polls = std::mem::take(&mut self.polls);
-        let (finished, open) = polls.into_iter().partition(|poll| poll.is_finished(now, fleet));
-        self.polls = open;
+        let (finished, unfinished) = polls.into_iter().partition(|poll| poll.is_finished(now, fleet));
+        self.polls = unfinished;
         finished
     }
 
-    /// The servers that open polls refer to.
+    /// The servers that unfinished polls refer to.
     pub fn polled_servers(&self) -> impl Iterator<Item = ServerIndex> + '_ {
         self.polls.iter().flat_map(|poll| poll.candidates.iter().copied())
     }
 }
 
-fn is_worth_its_cost(settings: &Settings) -> bool {
+/// Whether health checks are allowed, cheap enough and the only source of load reports, and return a load.
+fn is_polling_worthwhile(settings: &Settings) -> bool {
     settings.allows_health_checks
         && settings.load_report_source == LoadReportSource::HealthChecks
-        && settings.load_report_fields.iter().any(|&field| is_load(field))
-        && settings.costs.health_check * MAX_CANDIDATES as f64 <= MAX_POLL_COST
+        && settings.load_report_fields.iter().any(|&field| is_load_field(field))
+        && settings.costs.health_check * MAX_CANDIDATES as f64 <= MAX_POLL_COST_FRACTION
 }
--- a/crates/balancer-core/src/policy/server_load/reported_load.rs
+++ b/crates/balancer-core/src/policy/server_load/reported_load.rs
@@ -1,42 +1,45 @@
-//! What load reports say of one server.
+//! The load that one server has reported.
 
 use crate::policy::smoothing::decay_factor;
 use crate::Time;
 
-/// The load of a server by its last report, and own sends since.
+/// The load in a server's last report, and the number of own attempts sent to the server since.
 #[derive(Default)]
 pub struct ReportedLoad {
+    /// The load in the last report, in requests.
     load: f64,
+    /// When the last report arrived; `None` before the first report.
     reported_at: Option<Time>,
+    /// Number of own attempts sent since the last report.
     sends_since: u32,
 }
 
 impl ReportedLoad {
-    /// A report that has arrived now.
+    /// Creates the record of a report that arrived at `now`.
     pub fn new(load: f64, now: Time) -> Self {
         ReportedLoad { load, reported_at: Some(now), sends_since: 0 }
     }
 
-    /// Notes that the server is sent an attempt.
+    /// Counts an attempt that is sent to the server.
     pub fn record_send(&mut self) {
         self.sends_since += 1;
     }
 
-    /// Whether the server has reported at `time` or later.
-    pub fn is_reported_since(&self, time: Time) -> bool {
+    /// Whether the last report arrived at `time` or later.
+    pub fn has_report_since(&self, time: Time) -> bool {
         self.reported_at.is_some_and(|at| at >= time)
     }
 
-    /// The reported load and what was sent since; zero without a report.
-    pub fn known(&self) -> f64 {
+    /// The load in the last report plus the attempts sent since; zero before the first report.
+    pub fn last_known(&self) -> f64 {
         if self.reported_at.is_none() {
             return 0.0;
         }
         self.load + f64::from(self.sends_since)
     }
 
-    /// The load to expect now: a report loses its weight over `decay_ms` milliseconds, and `mean_load` makes
-    /// up the rest.
+    /// The estimated load at `now`: a weighted mean of the last known load and `mean_load`. The weight of the
+    /// last known load decays exponentially with the age of the report; the time constant is `decay_ms`.
     pub fn expected(&self, now: Time, decay_ms: f64, mean_load: f64) -> f64 {
         let weight = self.reported_at.map_or(0.0, |at| decay_factor(now.since(at), decay_ms));
         weight * (self.load + f64::from(self.sends_since)) + (1.0 - weight) * mean_load
--- a/crates/balancer-core/src/policy/server_load/reported_load/tests.rs
+++ b/crates/balancer-core/src/policy/server_load/reported_load/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reported loads.
+//! Tests of the last known and the expected load of a server.
 
 use super::*;
 use crate::Span;
@@ -12,7 +12,7 @@
     let mut reported = ReportedLoad::default();
     reported.record_send();
 
-    assert_eq!(reported.known(), 0.0);
+    assert_eq!(reported.last_known(), 0.0);
     assert_eq!(reported.expected(NOW, DECAY_MS, MEAN_LOAD), MEAN_LOAD);
 }
 
@@ -23,7 +23,7 @@
     reported.record_send();
     reported.record_send();
 
-    assert_eq!(reported.known(), 7.0);
+    assert_eq!(reported.last_known(), 7.0);
     assert_eq!(reported.expected(NOW, DECAY_MS, MEAN_LOAD), 7.0);
 }
 
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn report_counts_since_its_own_time() {
-    assert!(!ReportedLoad::default().is_reported_since(Time::EPOCH));
+fn server_has_a_report_since_the_time_of_its_last_report() {
+    assert!(!ReportedLoad::default().has_report_since(Time::EPOCH));
 
     let reported = ReportedLoad::new(5.0, NOW);
-    assert!(reported.is_reported_since(NOW));
-    assert!(!reported.is_reported_since(NOW + Span::from_micros(1)));
+    assert!(reported.has_report_since(NOW));
+    assert!(!reported.has_report_since(NOW + Span::from_micros(1)));
 }
