--- a/crates/balancer-core/src/policy/fleet/server.rs
+++ b/crates/balancer-core/src/policy/fleet/server.rs
@@ -11,7 +11,8 @@
 /// The state of one server: its endpoint, the number of own attempts in flight, and the state that each
 /// component keeps for the server.
 pub struct ServerState {
-    /// The latest entry of the endpoint list for this server.
+    /// The latest entry of the endpoint list for this server. The status is `Removed` if a complete list did
+    /// not contain the server.
     pub endpoint: Endpoint,
     /// Number of this balancer's attempts that are in flight at the server.
     pub in_flight: u32,
--- a/crates/balancer-core/src/policy/fleet/view.rs
+++ b/crates/balancer-core/src/policy/fleet/view.rs
@@ -2,8 +2,8 @@
 
 /// How much of each server's load this balancer can see from its own requests.
 ///
-/// Components that behave differently in the two views contain both behaviours. Components that store the
-/// view are notified of a change through their `set_view` method.
+/// Components that behave differently in the two views contain both behaviours. Components whose state
+/// depends on the view are notified of a change through their `set_view` method.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetView {
     /// The balancer sends requests to each server often, so its own requests in flight show which servers are
--- a/crates/balancer-core/src/policy/routing/candidates.rs
+++ b/crates/balancer-core/src/policy/routing/candidates.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of random servers that are examined per wanted candidate. Servers that are not eligible are
 /// discarded (rejection sampling). The limit keeps the cost of a choice independent of the size of the fleet.
-const TRIES_PER_DRAW: usize = 4;
+const MAX_TRIES_PER_DRAW: usize = 4;
 
 /// Collects the candidates for one request.
 pub struct CandidateSearch<'a> {
@@ -41,7 +41,7 @@
     /// Adds servers drawn uniformly at random that are eligible and were not tried before.
     fn add_random(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
         let serving = self.context.fleet.serving();
-        for _ in 0..TRIES_PER_DRAW * self.sample.draws {
+        for _ in 0..MAX_TRIES_PER_DRAW * self.sample.draws {
             if candidates.len() >= self.sample.draws || serving.is_empty() {
                 return;
             }
--- a/crates/balancer-core/src/policy/routing/memory.rs
+++ b/crates/balancer-core/src/policy/routing/memory.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of remembered routing keys. When it is reached, all keys are forgotten; each of them then
-/// costs one request that its server serves without a cache.
+/// costs one request that a server serves without cached data.
 const MAX_ROUTING_KEYS: usize = 10_000;
 
 /// The servers that were chosen most recently, and the server that each routing key was last sent to.
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -31,7 +31,8 @@
 /// Factor on the slowness of the last server of a routing key, so that this server is chosen unless it is
 /// clearly more loaded than the other candidates.
 const KEY_SERVER_FACTOR: f64 = 0.7;
-/// Exponent of a server's slowness in its load; multiplied by the slowness sensitivity of the request.
+/// Exponent of a server's relative slowness in its load. The slowness sensitivity of the request multiplies
+/// the exponent.
 const SLOWNESS_EXPONENT: f64 = 0.5;
 /// Step size to which the natural logarithm of a load is rounded. Loads that round to the same step count as
 /// equal: a difference of a quarter is well within random variation (docs/findings/ties.md).
@@ -41,9 +42,9 @@
 /// selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
-    /// The load by the balancer's own requests in flight.
+    /// The load according to the balancer's own requests in flight.
     own_load: i64,
-    /// The load by the server's reports.
+    /// The load according to the server's reports; zero in a sparse view without polling.
     reported_load: i64,
     /// A random number of zero or more, as the bits of an `f64`. The bits have the same order as the numbers.
     tie_break: u64,
@@ -123,7 +124,7 @@
 }
 
 /// The number of own requests at the server, including the one to be sent. The number is zero for an ejected
-/// server, which is a candidate only if a probe is due: by its load it would never be selected.
+/// server, which is a candidate only if a probe is due: with its actual load it would never be selected.
 fn own_requests(server: &ServerState) -> f64 {
     if server.health.is_ejected() {
         return 0.0;
@@ -131,7 +132,7 @@
     f64::from(server.in_flight) + 1.0
 }
 
-/// The factor on a server's load for the zone that the server is in: 1 in the local zone.
+/// The factor on the load of a server for the cost of crossing zones: 1 in the local zone.
 fn zone_factor(settings: &Settings, server: &ServerState) -> f64 {
     if server.endpoint.zone == settings.local_zone {
         return 1.0;
--- a/crates/balancer-core/src/policy/server_load/polling.rs
+++ b/crates/balancer-core/src/policy/server_load/polling.rs
@@ -1,4 +1,4 @@
-//! Polls candidates for their load before one of them is selected.
+//! Polls candidates for their load, with health checks, before one of them is selected.
 
 use super::load_reports::is_load_field;
 use crate::policy::fleet::{FleetView, ServerIndex, ServerRegistry};
