--- a/crates/balancer-core/src/policy/outlier.rs
+++ b/crates/balancer-core/src/policy/outlier.rs
@@ -1,5 +1,5 @@
-//! Outliers: servers that fail or are slow next to the others are ejected, and probed by single requests
-//! until they recover.
+//! Outlier detection: servers that fail, or are slow relative to the fleet, are ejected and then probed with
+//! single requests until they recover.
 
 mod detection;
 mod ejection;
--- a/crates/balancer-core/src/policy/outlier/detection.rs
+++ b/crates/balancer-core/src/policy/outlier/detection.rs
@@ -1,4 +1,4 @@
-//! Which servers are outliers, and whether a probe ends an ejection.
+//! The rules that decide which servers are ejected, and whether a probe ends an ejection.
 
 use crate::policy::admission::SLOW_RATIO;
 use crate::policy::concurrency::{LATE_RATIO, TARGET_RATIO};
@@ -7,28 +7,30 @@
 use crate::units::LatencyRatio;
 use crate::{EjectionReason, Outcome, Time};
 
-/// A server is slow at this multiple of the fleet's median latency; below it, own counts alone shift the
-/// load.
+/// A server is slow if its latency exceeds the median of the fleet by this factor. Below the factor no
+/// ejection is needed: the balancer's own counts of attempts in flight shift the load to other servers.
 const OUTLIER_FACTOR: f64 = 3.0;
-/// The median counts as this at least when a probe is judged.
-const MIN_PROBE_MEDIAN: f64 = 0.1;
-/// Samples needed before a server can be called slow; one costly request is no evidence.
+/// Lower bound of the fleet's median latency ratio when a probe is compared with it.
+const MIN_MEDIAN_RATIO: f64 = 0.1;
+/// Latency samples needed before a server can be ejected as slow, so that one costly request does not eject
+/// it.
 const MIN_SAMPLES: u32 = 4;
-/// Failures in a row that eject a server.
-const MAX_FAILURES: u32 = 3;
-/// At most this share of the serving fleet is ejected; beyond that the cause is not the servers.
-const MAX_EJECTED_SHARE: f64 = 0.75;
+/// Consecutive failures after which a server is ejected in a dense view.
+const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
+/// Largest fraction of the serving servers that may be ejected. If more of them are outliers, the
+/// servers themselves are not the cause.
+const MAX_EJECTED_FRACTION: f64 = 0.75;
 
-/// How an attempt ended, and the latency it showed.
+/// The outcome and the latency ratio of an attempt that has ended.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Its latency; zero if it shows no load.
+    /// The latency ratio of the attempt; zero if the attempt shows no load.
     pub ratio: LatencyRatio,
 }
 
-/// Why the server is an outlier after its last attempt; `None` if it is not.
+/// Returns the reason to eject the server after its last attempt, or `None` if the server is not an outlier.
 pub fn find_outlier(
     server: &ServerState,
     last: AttemptResult,
@@ -41,17 +43,18 @@
     is_failing(server, last, view).then_some(EjectionReason::Failing)
 }
 
+/// Whether a server with enough samples is slow relative to both the fleet and the target latency ratio.
 fn is_slow(latency: &ServerLatency, median: LatencyRatio) -> bool {
-    let slow_limit = OUTLIER_FACTOR * median.value();
-    latency.samples() >= MIN_SAMPLES && latency.ratio().value() > slow_limit && latency.ratio() > TARGET_RATIO
+    let max_ratio = OUTLIER_FACTOR * median.value();
+    latency.samples() >= MIN_SAMPLES && latency.ratio().value() > max_ratio && latency.ratio() > TARGET_RATIO
 }
 
-/// In a sparse view a single failure or late answer is enough: the next own request to the server may be
-/// minutes away.
+/// Whether a server has failed often enough to be ejected. In a sparse view a single failure or late response
+/// is enough, because the balancer's next request to the server may be minutes away.
 fn is_failing(server: &ServerState, last: AttemptResult, view: FleetView) -> bool {
     let failures = server.health.failures();
     match view {
-        FleetView::Dense => failures >= MAX_FAILURES,
+        FleetView::Dense => failures >= CONSECUTIVE_FAILURES_TO_EJECT,
         FleetView::Sparse => {
             let is_late = last.ratio >= LATE_RATIO && last.outcome != Outcome::Rejected;
             is_late || failures > 0
@@ -59,32 +62,34 @@
     }
 }
 
-/// Whether a single answer is slow, and slow next to the fleet too, as where a noisy neighbour takes the
-/// server's cores (docs/findings/fleet-shares.md).
+/// Whether a single response is slow, and also slow relative to the fleet. This happens where a noisy
+/// neighbour takes CPU cores from the server (docs/findings/fleet-shares.md).
 pub fn is_relatively_slow(ratio: LatencyRatio, median: LatencyRatio) -> bool {
     ratio >= SLOW_RATIO && ratio.value() > OUTLIER_FACTOR * median.value()
 }
 
-/// Ejects a server. False if it is ejected already, or if too many others are.
+/// Ejects a server. Returns `false`, and changes nothing, if the server is already ejected or if too many
+/// others are.
 pub fn eject(fleet: &mut ServerRegistry, index: ServerIndex, now: Time) -> bool {
     let serving = fleet.serving().len() as f64;
     let ejected = fleet.serving_states().filter(|server| server.health.is_ejected()).count();
     let health = &mut fleet[index].health;
-    if health.is_ejected() || (ejected + 1) as f64 > MAX_EJECTED_SHARE * serving {
+    if health.is_ejected() || (ejected + 1) as f64 > MAX_EJECTED_FRACTION * serving {
         return false;
     }
     health.eject(now);
     true
 }
 
-/// Judges a probe: a good answer ends the ejection, any other one delays the next probe.
+/// Evaluates the result of a probe. A success that is not slow relative to the fleet ends the ejection; any
+/// other result delays the next probe.
 pub fn judge_probe(server: &mut ServerState, probe: AttemptResult, median: LatencyRatio, now: Time) {
-    let limit = OUTLIER_FACTOR * median.value().max(MIN_PROBE_MEDIAN);
-    if probe.outcome == Outcome::Success && probe.ratio.value() < limit {
+    let max_ratio = OUTLIER_FACTOR * median.value().max(MIN_MEDIAN_RATIO);
+    if probe.outcome == Outcome::Success && probe.ratio.value() < max_ratio {
         server.health.recover();
         server.latency = ServerLatency::restarted(probe.ratio);
     } else {
-        server.health.fail_probe(now);
+        server.health.record_probe_failure(now);
     }
 }
 
--- a/crates/balancer-core/src/policy/outlier/detection/tests.rs
+++ b/crates/balancer-core/src/policy/outlier/detection/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how probes are judged.
+//! Tests of how the result of a probe is evaluated.
 
 use super::*;
 use crate::{Endpoint, ServerId};
@@ -6,13 +6,14 @@
 const NOW: Time = Time::from_millis(1_000);
 const SERVER: ServerId = ServerId(1);
 
-/// Probes an ejected server in a fleet that answers very quickly; whether the answer ends the ejection.
+/// Ejects a server of a fleet with a very low median latency, and probes the server once. Returns whether the
+/// probe ended the ejection.
 fn ends_ejection(ratio: f64) -> bool {
     let mut fleet = ServerRegistry::new();
-    // The only server of a fleet is never ejected, so there are others.
+    // Five servers: the only server of a fleet is never ejected.
     fleet.update(NOW, (1..6).map(|id| Endpoint::serving(ServerId(id))).collect(), true);
     fleet.refresh_serving();
-    let server = fleet.find(SERVER).expect("it is listed");
+    let server = fleet.find(SERVER).expect("the server is listed");
     assert!(eject(&mut fleet, server, NOW));
     assert!(fleet[server].health.is_ejected());
 
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_probe_is_judged_against_a_median_of_a_tenth_at_least() {
+fn a_probe_is_compared_with_a_median_of_at_least_a_tenth() {
     assert!(ends_ejection(0.29));
     assert!(!ends_ejection(0.31));
 }
--- a/crates/balancer-core/src/policy/outlier/ejection.rs
+++ b/crates/balancer-core/src/policy/outlier/ejection.rs
@@ -1,45 +1,51 @@
-//! When an ejected server is probed.
+//! The schedule of probes to an ejected server.
 
 use crate::{Span, Time};
 
-/// First interval between an ejection and its probe.
+/// Interval between an ejection and the first probe.
 const MIN_PROBE_INTERVAL: Span = Span::from_millis(250);
 /// Longest interval between two probes.
 const MAX_PROBE_INTERVAL: Span = Span::from_secs(4);
-/// Growth of the interval with each failed probe.
-const PROBE_BACKOFF: f64 = 2.0;
-/// Any request may probe a server that no idempotent one has probed for this many further intervals.
-const UNSAFE_PROBE_INTERVALS: f64 = 2.0;
+/// Factor by which the interval grows with each failed probe.
+const PROBE_BACKOFF_FACTOR: f64 = 2.0;
+/// Additional intervals after which a request that is not idempotent may probe the server too.
+const NON_IDEMPOTENT_EXTRA_INTERVALS: f64 = 2.0;
 
-/// The state of an ejected server.
+/// The probe schedule of an ejected server.
 pub struct Ejection {
-    next_probe: Time,
+    next_probe_at: Time,
     interval: Span,
-    is_probing: bool,
+    has_probe_in_flight: bool,
 }
 
 impl Ejection {
-    /// The state of a server that is ejected now.
+    /// Creates the schedule of a server that is ejected at `now`.
     pub fn new(now: Time) -> Self {
-        Ejection { next_probe: now + MIN_PROBE_INTERVAL, interval: MIN_PROBE_INTERVAL, is_probing: false }
+        Ejection {
+            next_probe_at: now + MIN_PROBE_INTERVAL,
+            interval: MIN_PROBE_INTERVAL,
+            has_probe_in_flight: false,
+        }
     }
 
-    /// Whether a request may probe the server now. Idempotent ones go first, but a service without an
-    /// idempotent class must take its servers back too.
+    /// Whether a request may probe the server now. Idempotent requests are preferred as probes. Other
+    /// requests may probe the server later, because a service without idempotent requests must also return
+    /// its ejected servers to use.
     pub fn is_probe_due(&self, now: Time, is_idempotent: bool) -> bool {
-        let wait = if is_idempotent { Span::ZERO } else { self.interval * UNSAFE_PROBE_INTERVALS };
-        !self.is_probing && now >= self.next_probe + wait
+        let extra_delay =
+            if is_idempotent { Span::ZERO } else { self.interval * NON_IDEMPOTENT_EXTRA_INTERVALS };
+        !self.has_probe_in_flight && now >= self.next_probe_at + extra_delay
     }
 
-    /// Notes that a probe is in flight.
+    /// Records that a probe is in flight.
     pub fn start_probe(&mut self) {
-        self.is_probing = true;
+        self.has_probe_in_flight = true;
     }
 
-    /// Notes that the probe has failed: the next one comes later.
-    pub fn fail_probe(&mut self, now: Time) {
-        let interval = (self.interval * PROBE_BACKOFF).min(MAX_PROBE_INTERVAL);
-        *self = Ejection { next_probe: now + interval, interval, is_probing: false };
+    /// Records that the probe has failed, and schedules the next one after a longer interval.
+    pub fn record_probe_failure(&mut self, now: Time) {
+        let interval = (self.interval * PROBE_BACKOFF_FACTOR).min(MAX_PROBE_INTERVAL);
+        *self = Ejection { next_probe_at: now + interval, interval, has_probe_in_flight: false };
     }
 }
 
--- a/crates/balancer-core/src/policy/outlier/ejection/tests.rs
+++ b/crates/balancer-core/src/policy/outlier/ejection/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when an ejected server is probed.
+//! Tests of when a probe to an ejected server is due.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn requests_with_an_effect_wait_two_intervals_longer() {
+fn non_idempotent_requests_wait_two_intervals_longer() {
     let ejection = Ejection::new(NOW);
     let due_at = NOW + Span::from_millis(750);
 
@@ -36,7 +36,7 @@
     let mut ejection = Ejection::new(NOW);
     for interval_ms in [500, 1_000, 2_000, 4_000, 4_000] {
         ejection.start_probe();
-        ejection.fail_probe(NOW);
+        ejection.record_probe_failure(NOW);
 
         let due_at = NOW + Span::from_millis(interval_ms);
         assert!(!ejection.is_probe_due(due_at - Span::from_micros(1), true), "{interval_ms}");
--- a/crates/balancer-core/src/policy/outlier/health.rs
+++ b/crates/balancer-core/src/policy/outlier/health.rs
@@ -1,59 +1,61 @@
-//! What is known of one server's health.
+//! The health of one server, derived from the outcomes of its attempts.
 
 use super::ejection::Ejection;
 use crate::{Outcome, Time};
 
-/// Failures, responses and ejection of one server.
+/// The consecutive failures, the last response and the ejection of one server.
 pub struct ServerHealth {
-    /// Failures in a row.
-    failures: u32,
-    /// When it last responded in any way.
-    last_response: Time,
+    /// Failures since the last success.
+    consecutive_failures: u32,
+    /// When the server last sent a response of any kind, or reset a connection.
+    last_response_at: Time,
+    /// The probe schedule while the server is ejected.
     ejection: Option<Ejection>,
 }
 
 impl ServerHealth {
-    /// The health of a server that has not been sent anything yet.
+    /// Creates the health of a server that has not received any attempt yet.
     pub fn new(now: Time) -> Self {
-        ServerHealth { failures: 0, last_response: now, ejection: None }
+        ServerHealth { consecutive_failures: 0, last_response_at: now, ejection: None }
     }
 
-    /// The health of a server that has just started a new process. Attempts of the previous one may still be
-    /// in flight and are judged by when it last responded.
+    /// Returns the health of a server that has just started a new process. The time of the last response is
+    /// kept, because attempts to the previous process may still be in flight and are evaluated by it.
     pub fn restarted(&self) -> Self {
-        ServerHealth::new(self.last_response)
+        ServerHealth::new(self.last_response_at)
     }
 
-    /// Records how an attempt ended. A server that rejects is not unhealthy: it is only sent less.
+    /// Records the outcome of an attempt. A rejection is not a failure: the server only receives fewer
+    /// requests.
     pub fn record(&mut self, now: Time, outcome: Outcome) {
         match outcome {
             Outcome::Success => {
-                self.failures = 0;
-                self.last_response = now;
+                self.consecutive_failures = 0;
+                self.last_response_at = now;
             }
-            Outcome::Rejected => self.last_response = now,
+            Outcome::Rejected => self.last_response_at = now,
             Outcome::ServerError | Outcome::ConnectionReset => {
-                self.failures += 1;
-                self.last_response = now;
+                self.consecutive_failures += 1;
+                self.last_response_at = now;
             }
-            Outcome::ConnectFailed => self.failures += 1,
+            Outcome::ConnectFailed => self.consecutive_failures += 1,
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => {}
         }
     }
 
-    /// Failures in a row, with no success between.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
-        self.failures
+        self.consecutive_failures
     }
 
     /// Whether the server has responded in any way after `time`.
     pub fn has_responded_after(&self, time: Time) -> bool {
-        self.last_response > time
+        self.last_response_at > time
     }
 
     /// Whether the server's last response came before `time`.
     pub fn is_silent_since(&self, time: Time) -> bool {
-        self.last_response < time
+        self.last_response_at < time
     }
 
     /// Whether the server is ejected.
@@ -61,12 +63,12 @@
         self.ejection.is_some()
     }
 
-    /// Whether a request may be sent: the server is not ejected, or the request may probe it now.
+    /// Whether a request may be sent now: the server is not ejected, or the request may probe it.
     pub fn allows_request(&self, now: Time, is_idempotent: bool) -> bool {
         self.ejection.as_ref().is_none_or(|ejection| ejection.is_probe_due(now, is_idempotent))
     }
 
-    /// Notes that a request is sent; true if it is a probe of an ejected server.
+    /// Records that a request is sent. Returns `true` if the request is a probe of an ejected server.
     pub fn start_request(&mut self) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
         ejection.start_probe();
@@ -78,16 +80,16 @@
         self.ejection = Some(Ejection::new(now));
     }
 
-    /// Ends the ejection.
+    /// Ends the ejection and resets the failure count.
     pub(super) fn recover(&mut self) {
         self.ejection = None;
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// Notes that a probe has failed. Without an ejection nothing changes.
-    pub(super) fn fail_probe(&mut self, now: Time) {
+    /// Records that a probe has failed. Does nothing if the server is not ejected.
+    pub(super) fn record_probe_failure(&mut self, now: Time) {
         if let Some(ejection) = &mut self.ejection {
-            ejection.fail_probe(now);
+            ejection.record_probe_failure(now);
         }
     }
 }
--- a/crates/balancer-core/src/policy/outlier/health/tests.rs
+++ b/crates/balancer-core/src/policy/outlier/health/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what outcomes show of a server's health.
+//! Tests of how outcomes change the health of a server.
 
 use super::*;
 
@@ -18,14 +18,14 @@
     let failures = [Outcome::ServerError, Outcome::ConnectionReset, Outcome::ConnectFailed];
     assert_eq!(health_after(&failures).failures(), 3);
 
-    let harmless = [Outcome::Rejected, Outcome::TimedOut, Outcome::Cancelled, Outcome::NotSent];
-    assert_eq!(health_after(&harmless).failures(), 0);
+    let other_outcomes = [Outcome::Rejected, Outcome::TimedOut, Outcome::Cancelled, Outcome::NotSent];
+    assert_eq!(health_after(&other_outcomes).failures(), 0);
 
     assert_eq!(health_after(&[Outcome::ServerError, Outcome::Rejected, Outcome::Success]).failures(), 0);
 }
 
 #[test]
-fn any_answer_is_a_response() {
+fn successes_errors_resets_and_rejections_are_responses() {
     for (outcome, is_response) in [
         (Outcome::Success, true),
         (Outcome::ServerError, true),
