--- a/crates/balancer-core/src/policy/suspicion.rs
+++ b/crates/balancer-core/src/policy/suspicion.rs
@@ -1,7 +1,10 @@
-//! Suspicion, the form that ejection takes in a sparse view. A balancer that meets a server once in many
-//! seconds cannot probe it: the probes of all balancers together would be a load of their own. It sends a
-//! suspected server a small part of its share for a while, and gossips to some peers, because each of them
-//! would otherwise lose a request of its own to find out.
+//! Suspicion of servers, which takes the place of ejection in a sparse view.
+//!
+//! In a sparse view, a balancer sends a request to a given server only once in many seconds. It cannot probe
+//! ejected servers, because the probes of all balancers together would be a considerable load. Instead, a
+//! suspected server receives a small fraction of its normal traffic for a while. The balancer also notifies
+//! some of its peers by gossip. Without gossip, each peer would lose a request of its own to detect the
+//! fault.
 
 mod gossip;
 mod server_suspicion;
--- a/crates/balancer-core/src/policy/suspicion/gossip.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip.rs
@@ -1,56 +1,56 @@
-//! Gossip of suspected servers: which peers are notified, and what that may cost.
+//! Gossip about suspected servers: the message format, the choice of receivers, and the budget of bytes.
 
 use crate::policy::budget::Budget;
 use crate::{PeerId, ServerId, Settings};
 
-/// Most peers that are notified of one suspected server.
-const MAX_PEERS: u32 = 64;
-/// Bytes of gossip that each request earns.
-const BYTES_PER_REQUEST: f64 = 25.0;
-/// Most bytes that can be saved up.
-const MAX_BYTES: f64 = 512.0;
+/// Maximum number of peers that are notified of a suspected server.
+const MAX_RECEIVERS: u32 = 64;
+/// Bytes that each request adds to the budget.
+const EARNED_BYTES_PER_REQUEST: f64 = 25.0;
+/// Maximum balance of the budget.
+const MAX_SAVED_BYTES: f64 = 512.0;
 
-/// The form of a message: the suspected server's number, most significant byte first.
+/// Length of a message, which consists of the suspected server's id in big-endian byte order.
 const MESSAGE_BYTES: usize = size_of::<u32>();
 
-/// Sends gossip within a budget of bytes.
-pub struct Gossiper {
-    /// In bytes.
-    budget: Budget,
+/// The budget of bytes that gossip messages are paid from.
+pub struct GossipBudget {
+    bytes: Budget,
 }
 
-impl Gossiper {
-    /// A gossiper with a full budget.
+impl GossipBudget {
+    /// Creates a full budget.
     pub fn new() -> Self {
-        Gossiper { budget: Budget::new(MAX_BYTES) }
+        GossipBudget { bytes: Budget::new(MAX_SAVED_BYTES) }
     }
 
-    /// Earns the bytes that one request is worth.
+    /// Adds the bytes that one request earns.
     pub fn earn(&mut self) {
-        self.budget.earn(BYTES_PER_REQUEST, MAX_BYTES);
+        self.bytes.earn(EARNED_BYTES_PER_REQUEST, MAX_SAVED_BYTES);
     }
 
-    /// Pays for as many messages as the budget allows and returns their receivers, drawn from all balancers.
+    /// Pays for as many messages as the budget allows, and returns their receivers, drawn at random from all
+    /// balancers.
     pub fn pay_for_receivers(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Vec<PeerId> {
         let message_cost = MESSAGE_BYTES as f64;
-        let affordable = (self.budget.balance() / message_cost) as u32;
+        let affordable = (self.bytes.balance() / message_cost) as u32;
         let other_balancers = settings.balancer_count - 1;
-        let count = affordable.min(MAX_PEERS).min(other_balancers);
+        let count = affordable.min(MAX_RECEIVERS).min(other_balancers);
         let mut receivers = Vec::with_capacity(count as usize);
         for _ in 0..count {
-            self.budget.spend(message_cost);
+            self.bytes.spend(message_cost);
             receivers.push(PeerId(rng.u32(0..settings.balancer_count)));
         }
         receivers
     }
 }
 
-/// The message that names a suspected server.
+/// Encodes a message that names a suspected server.
 pub fn encode(server: ServerId) -> [u8; MESSAGE_BYTES] {
     server.0.to_be_bytes()
 }
 
-/// The suspected server that a message names; `None` if the message is not of this form.
+/// Decodes the id of the suspected server from a message; `None` if the length of the message is wrong.
 pub fn decode(payload: &[u8]) -> Option<ServerId> {
     payload.try_into().ok().map(|bytes| ServerId(u32::from_be_bytes(bytes)))
 }
--- a/crates/balancer-core/src/policy/suspicion/gossip/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of gossip messages and of what they may cost.
+//! Tests of the gossip message format and of the gossip budget.
 
 use super::*;
 
@@ -23,19 +23,20 @@
 fn at_most_sixty_four_peers_are_notified_and_no_more_than_there_are() {
     let mut rng = fastrand::Rng::with_seed(1);
 
-    assert_eq!(Gossiper::new().pay_for_receivers(&settings(1000), &mut rng).len(), 64);
-    assert_eq!(Gossiper::new().pay_for_receivers(&settings(10), &mut rng).len(), 9);
+    assert_eq!(GossipBudget::new().pay_for_receivers(&settings(1000), &mut rng).len(), 64);
+    assert_eq!(GossipBudget::new().pay_for_receivers(&settings(10), &mut rng).len(), 9);
 }
 
-/// Four bytes a message: 512 pay for two rounds of 64, and a request then earns 25.
+/// A message has 4 bytes. The initial 512 bytes pay for two rounds of 64 messages; the 25 bytes that one
+/// request earns then pay for 6 more.
 #[test]
 fn messages_are_paid_from_a_budget_that_requests_earn() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut gossiper = Gossiper::new();
-    let mut notified = || gossiper.pay_for_receivers(&settings(1000), &mut rng).len();
+    let mut gossip_budget = GossipBudget::new();
+    let mut notified = || gossip_budget.pay_for_receivers(&settings(1000), &mut rng).len();
     assert_eq!([notified(), notified(), notified()], [64, 64, 0]);
 
-    gossiper.earn();
+    gossip_budget.earn();
 
-    assert_eq!(gossiper.pay_for_receivers(&settings(1000), &mut rng).len(), 6);
+    assert_eq!(gossip_budget.pay_for_receivers(&settings(1000), &mut rng).len(), 6);
 }
--- a/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
+++ b/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
@@ -1,45 +1,45 @@
-//! Suspicion of a single server.
+//! The suspicion of a single server.
 
 use crate::{Outcome, Span, Time};
 
-/// The part of its share that a suspected server is still sent.
+/// The fraction of its normal traffic that a suspected server still receives.
 pub const SUSPECTED_SHARE: f64 = 0.05;
-/// How long suspicion lasts after own evidence.
-const OWN_SUSPICION: Span = Span::from_secs(8);
-/// How long suspicion lasts after gossip.
-const GOSSIP_SUSPICION: Span = Span::from_secs(5);
+/// Duration of a suspicion that is based on this balancer's own attempts.
+const OWN_SUSPICION_DURATION: Span = Span::from_secs(8);
+/// Duration of a suspicion that is based on gossip.
+const GOSSIP_SUSPICION_DURATION: Span = Span::from_secs(5);
 
-/// Until when a server is under suspicion.
+/// The time until which a server is suspected.
 pub struct ServerSuspicion {
-    until: Time,
+    suspected_until: Time,
 }
 
 impl ServerSuspicion {
-    /// A server that is not suspected.
+    /// Creates the state of a server that is not suspected.
     pub fn new(now: Time) -> Self {
-        ServerSuspicion { until: now }
+        ServerSuspicion { suspected_until: now }
     }
 
-    /// Whether the server is under suspicion.
+    /// Whether the server is suspected at `now`.
     pub fn is_active(&self, now: Time) -> bool {
-        now < self.until
+        now < self.suspected_until
     }
 
-    /// Records how an attempt ended: a served answer that is not late ends the suspicion.
+    /// Records the outcome of an attempt. A success that is not late ends the suspicion.
     pub fn record(&mut self, now: Time, outcome: Outcome, is_late: bool) {
         if outcome == Outcome::Success && !is_late {
-            self.until = now;
+            self.suspected_until = now;
         }
     }
 
-    /// Suspects the server on own evidence.
+    /// Suspects the server because of this balancer's own attempts.
     pub(super) fn start(&mut self, now: Time) {
-        self.until = now + OWN_SUSPICION;
+        self.suspected_until = now + OWN_SUSPICION_DURATION;
     }
 
-    /// Suspects the server for a short while because a peer does.
+    /// Suspects the server because of gossip. A suspicion that already lasts longer is not shortened.
     pub(super) fn extend_by_gossip(&mut self, now: Time) {
-        self.until = self.until.max(now + GOSSIP_SUSPICION);
+        self.suspected_until = self.suspected_until.max(now + GOSSIP_SUSPICION_DURATION);
     }
 }
 
--- a/crates/balancer-core/src/policy/suspicion/server_suspicion/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/server_suspicion/tests.rs
@@ -5,7 +5,7 @@
 const NOW: Time = Time::from_millis(1_000);
 
 #[test]
-fn own_evidence_counts_for_eight_seconds_and_gossip_for_five() {
+fn suspicion_lasts_eight_seconds_on_own_evidence_and_five_on_gossip() {
     let mut own = ServerSuspicion::new(NOW);
     let mut by_gossip = ServerSuspicion::new(NOW);
     assert!(!own.is_active(NOW));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn only_a_served_answer_in_time_ends_suspicion() {
+fn only_a_success_in_time_ends_suspicion() {
     let mut suspicion = ServerSuspicion::new(NOW);
     suspicion.start(NOW);
 
--- a/crates/balancer-core/src/policy/suspicion/tracker.rs
+++ b/crates/balancer-core/src/policy/suspicion/tracker.rs
@@ -1,12 +1,12 @@
-//! Which servers are under suspicion, by themselves or with their zone.
+//! Suspicion of single servers and of whole zones, and gossip about suspected servers.
 
-use super::gossip::{decode, encode, Gossiper};
+use super::gossip::{decode, encode, GossipBudget};
 use super::zone_links::ZoneLinks;
 use crate::policy::fleet::{ServerIndex, ServerRegistry, ServerState};
 use crate::{Outcome, PeerId, Settings, Time, ZoneId};
 use std::collections::BTreeSet;
 
-/// A message to another balancer.
+/// A gossip message to another balancer.
 pub struct GossipMessage {
     /// The receiver.
     pub to: PeerId,
@@ -14,30 +14,30 @@
     pub payload: Vec<u8>,
 }
 
-/// The links to the zones, and the gossip of suspected servers. The suspicion of a single server is part of
-/// its record.
+/// The links to the zones, and the budget for gossip about suspected servers. The suspicion of a single
+/// server is part of its [`ServerState`].
 pub struct SuspicionTracker {
     zone_links: ZoneLinks,
-    gossiper: Gossiper,
+    gossip_budget: GossipBudget,
 }
 
 impl SuspicionTracker {
-    /// A tracker that suspects nothing.
+    /// Creates a tracker with no failed links and a full gossip budget.
     pub fn new() -> Self {
-        SuspicionTracker { zone_links: ZoneLinks::default(), gossiper: Gossiper::new() }
+        SuspicionTracker { zone_links: ZoneLinks::default(), gossip_budget: GossipBudget::new() }
     }
 
-    /// Earns the gossip that one request is worth.
+    /// Adds the bytes that one request earns to the gossip budget.
     pub fn earn_gossip(&mut self) {
-        self.gossiper.earn();
+        self.gossip_budget.earn();
     }
 
-    /// Whether the server is under suspicion, by itself or with its zone.
+    /// Whether the server is suspected, either by itself or because the link to its zone is down.
     pub fn is_suspected(&self, now: Time, server: &ServerState) -> bool {
-        self.zone_links.is_cut(now, server.endpoint.zone) || server.suspicion.is_active(now)
+        self.zone_links.is_down(now, server.endpoint.zone) || server.suspicion.is_active(now)
     }
 
-    /// Records how an attempt to a server in this zone ended.
+    /// Records the outcome of an attempt to a server in this zone.
     pub fn record_outcome(&mut self, now: Time, zone: ZoneId, outcome: Outcome) {
         match outcome {
             Outcome::Success => self.zone_links.record_success(zone),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Puts a server under suspicion; returns the messages that notify some peers of it.
+    /// Suspects a server, and returns the messages that notify some peers of the suspicion.
     pub fn suspect(
         &mut self,
         server: &mut ServerState,
@@ -59,24 +59,24 @@
             return Vec::new();
         }
         let payload = encode(server.endpoint.server);
-        let receivers = self.gossiper.pay_for_receivers(settings, rng);
+        let receivers = self.gossip_budget.pay_for_receivers(settings, rng);
         receivers.into_iter().map(|to| GossipMessage { to, payload: payload.to_vec() }).collect()
     }
 
-    /// Forgets the links to other zones.
-    pub fn retain_zones(&mut self, known: &BTreeSet<ZoneId>) {
-        self.zone_links.retain(known);
+    /// Drops the links to all zones that are not in `known_zones`.
+    pub fn retain_zones(&mut self, known_zones: &BTreeSet<ZoneId>) {
+        self.zone_links.retain(known_zones);
     }
 
-    /// Zones with a link that has failed.
+    /// Returns the number of zones with a failed connect since the last success.
     #[cfg(test)]
     pub fn failed_link_count(&self) -> usize {
         self.zone_links.len()
     }
 }
 
-/// Puts the server that gossip names under suspicion for a short while and returns it. Nothing else is done,
-/// so that old, lost or false gossip is harmless; gossip of an unknown server is ignored.
+/// Suspects the server that a gossip message names, and returns it. A message that names no known server is
+/// ignored. Gossip has no other effect, so messages that are old, lost or false do no harm.
 pub fn receive_gossip(payload: &[u8], now: Time, fleet: &mut ServerRegistry) -> Option<ServerIndex> {
     let index = fleet.find(decode(payload)?)?;
     fleet[index].suspicion.extend_by_gossip(now);
--- a/crates/balancer-core/src/policy/suspicion/tracker/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/tracker/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of suspicion of whole zones.
+//! Tests of the suspicion of all servers in a zone.
 
 use super::*;
 use crate::{Endpoint, ServerId, Span};
--- a/crates/balancer-core/src/policy/suspicion/zone_links.rs
+++ b/crates/balancer-core/src/policy/suspicion/zone_links.rs
@@ -1,61 +1,62 @@
-//! The links to the zones, as failed connects show them.
+//! The state of the network links to the zones, derived from failed connects.
 
 use crate::{Span, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Failed connects to a zone in a row, to any of its servers, that show a cut link and not a dead server.
-const MAX_FAILURES: u32 = 2;
-/// How long the link is then taken to be cut.
-const CUT_DURATION: Span = Span::from_secs(5);
+/// Consecutive failed connects to any servers of a zone after which the link to the zone is marked down. A
+/// single failed connect may be due to a dead server.
+const CONSECUTIVE_FAILURES_TO_MARK_DOWN: u32 = 2;
+/// How long a link stays marked down.
+const DOWN_DURATION: Span = Span::from_secs(5);
 
 #[derive(Default)]
 struct ZoneLink {
-    /// Failed connects in a row.
-    failures: u32,
-    cut_until: Time,
+    /// Failed connects since the last success.
+    consecutive_failures: u32,
+    down_until: Time,
 }
 
-/// The links that have failed since the last success over them.
+/// The links with a failed connect since their last success.
 #[derive(Default)]
 pub struct ZoneLinks {
     links: BTreeMap<ZoneId, ZoneLink>,
 }
 
 impl ZoneLinks {
-    /// Records a failed connect to a zone, to any of its servers.
+    /// Records a failed connect to any server of a zone.
     pub fn record_connect_failure(&mut self, zone: ZoneId, now: Time) {
-        if self.count_failure(zone) >= MAX_FAILURES {
-            self.cut(zone, now + CUT_DURATION);
+        if self.count_failure(zone) >= CONSECUTIVE_FAILURES_TO_MARK_DOWN {
+            self.mark_down(zone, now + DOWN_DURATION);
         }
     }
 
-    /// Records a success over the link to a zone: it is not cut.
+    /// Records a success of any server of a zone, which shows that the link is up.
     pub fn record_success(&mut self, zone: ZoneId) {
         self.links.remove(&zone);
     }
 
-    /// Whether the link to a zone is taken to be cut.
-    pub fn is_cut(&self, now: Time, zone: ZoneId) -> bool {
-        self.links.get(&zone).is_some_and(|link| now < link.cut_until)
+    /// Whether the link to a zone is marked down.
+    pub fn is_down(&self, now: Time, zone: ZoneId) -> bool {
+        self.links.get(&zone).is_some_and(|link| now < link.down_until)
     }
 
-    /// Forgets the other zones.
-    pub fn retain(&mut self, known: &BTreeSet<ZoneId>) {
-        self.links.retain(|zone, _| known.contains(zone));
+    /// Drops the links to all zones that are not in `known_zones`.
+    pub fn retain(&mut self, known_zones: &BTreeSet<ZoneId>) {
+        self.links.retain(|zone, _| known_zones.contains(zone));
     }
 
-    /// Counts a failed connect and returns how many there were in a row.
+    /// Counts a failed connect, and returns the number of failed connects since the last success.
     fn count_failure(&mut self, zone: ZoneId) -> u32 {
         let link = self.links.entry(zone).or_default();
-        link.failures += 1;
-        link.failures
+        link.consecutive_failures += 1;
+        link.consecutive_failures
     }
 
-    fn cut(&mut self, zone: ZoneId, until: Time) {
-        self.links.entry(zone).or_default().cut_until = until;
+    fn mark_down(&mut self, zone: ZoneId, until: Time) {
+        self.links.entry(zone).or_default().down_until = until;
     }
 
-    /// Zones with a link that has failed.
+    /// Returns the number of links with a failed connect since their last success.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.links.len()
