--- a/crates/balancer-core/src/policy/retry.rs
+++ b/crates/balancer-core/src/policy/retry.rs
@@ -1,5 +1,5 @@
-//! Retries: what the rules permit for a request, what the budget pays for, and which attempts are cancelled
-//! to be retried.
+//! Retries: where the rules permit another attempt, which retries the budget pays for, and which attempts are
+//! cancelled so that their requests can be retried.
 
 mod budget;
 mod decision;
--- a/crates/balancer-core/src/policy/retry/budget.rs
+++ b/crates/balancer-core/src/policy/retry/budget.rs
@@ -1,50 +1,52 @@
-//! The budget that retries of requests that may have run are paid from.
+//! The budget for retries of requests that may have run.
 
 use crate::policy::budget::Budget;
 use crate::policy::fleet::FleetView;
 
-/// What a retry costs.
-const RETRY_PRICE: f64 = 1.0;
-/// What each request earns.
+/// Cost of one retry.
+const RETRY_COST: f64 = 1.0;
+/// Amount that each request adds to the budget, in retries.
 const EARNED_PER_REQUEST: f64 = 0.1;
-/// Retries that can be saved up for a burst.
-const MAX_RETRIES: f64 = 10.0;
-/// Retries that can be saved up in a sparse view: many balancers would all spend more in the same overload.
-const MAX_RETRIES_SPARSE: f64 = 1.0;
+/// Maximum balance in a dense view, in retries. The balance allows a burst of retries.
+const MAX_SAVED_RETRIES: f64 = 10.0;
+/// Maximum balance in a sparse view, in retries. With a higher maximum, many balancers would all spend more
+/// retries during the same overload.
+const MAX_SAVED_RETRIES_SPARSE: f64 = 1.0;
 
-/// The retry budget.
+/// A token bucket that requests fill and retries empty.
 pub struct RetryBudget {
     budget: Budget,
     max_balance: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget for a dense view.
     pub fn new() -> Self {
-        RetryBudget { budget: Budget::new(MAX_RETRIES), max_balance: MAX_RETRIES }
+        RetryBudget { budget: Budget::new(MAX_SAVED_RETRIES), max_balance: MAX_SAVED_RETRIES }
     }
 
-    /// Follows a change of the view. A balance over the new maximum is cut by the next request.
+    /// Sets the maximum balance for a view. A higher balance is kept until the next request arrives, and is
+    /// then reduced to the maximum.
     pub fn set_view(&mut self, view: FleetView) {
         self.max_balance = match view {
-            FleetView::Dense => MAX_RETRIES,
-            FleetView::Sparse => MAX_RETRIES_SPARSE,
+            FleetView::Dense => MAX_SAVED_RETRIES,
+            FleetView::Sparse => MAX_SAVED_RETRIES_SPARSE,
         };
     }
 
-    /// Earns the part of a retry that one request is worth.
+    /// Adds the fraction of a retry that one request earns.
     pub fn earn(&mut self) {
         self.budget.earn(EARNED_PER_REQUEST, self.max_balance);
     }
 
-    /// Whether the budget pays for a retry.
+    /// Whether the balance is enough for a retry.
     pub fn can_pay(&self) -> bool {
-        self.budget.balance() >= RETRY_PRICE
+        self.budget.balance() >= RETRY_COST
     }
 
-    /// Pays for a retry.
+    /// Deducts the cost of a retry.
     pub fn pay(&mut self) {
-        self.budget.spend(RETRY_PRICE);
+        self.budget.spend(RETRY_COST);
     }
 }
 
--- a/crates/balancer-core/src/policy/retry/budget/tests.rs
+++ b/crates/balancer-core/src/policy/retry/budget/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Pays for retries as long as the budget allows; how many it paid for.
+/// Pays for retries until the budget is exhausted, and returns how many it paid for.
 fn spend_all(budget: &mut RetryBudget) -> usize {
     let mut paid = 0;
     while budget.can_pay() {
--- a/crates/balancer-core/src/policy/retry/decision.rs
+++ b/crates/balancer-core/src/policy/retry/decision.rs
@@ -1,4 +1,4 @@
-//! Whether a request is retried.
+//! The decision whether a request is retried.
 
 use super::budget::RetryBudget;
 use super::permission::{AttemptPermission, RetryScope};
@@ -6,8 +6,9 @@
 use crate::policy::requests::{ActiveRequest, AttemptKey};
 use crate::{Effect, Outcome};
 
-/// Whether a request whose attempt ended without an answer is sent again: the rules permit it, the budget
-/// pays for it unless it certainly did not run, and it can be answered in time.
+/// Whether a request is retried after an attempt that ended with `outcome` and without a final response. A
+/// retry must be permitted by the rules, must be able to get a response in time, and must be paid for by the
+/// budget. A retry of an attempt that certainly did not run is free.
 pub fn may_retry(
     active: &ActiveRequest,
     outcome: Outcome,
@@ -20,8 +21,9 @@
     is_permitted && is_paid_for && !timeliness.cannot_be_in_time(active)
 }
 
-/// Whether an overdue attempt is cancelled so that its request is retried elsewhere: the attempt is the
-/// request's last one, and a retry is permitted, paid for and can be in time.
+/// Whether an overdue attempt is cancelled so that its request is retried on another server. The attempt must
+/// be the last one of the request. The retry must be permitted, must be paid for by the budget, and must be
+/// able to get a response in time.
 pub fn may_cancel_and_retry(
     active: &ActiveRequest,
     attempt: AttemptKey,
@@ -29,9 +31,9 @@
     timeliness: &Timeliness<'_>,
 ) -> bool {
     let settings = timeliness.settings;
-    let is_repeatable = settings.class(active.class()).effect != Effect::AtMostOnce;
+    let allows_retry = settings.class(active.class()).effect != Effect::AtMostOnce;
     let is_last_attempt = attempt.attempt.0 as usize + 1 == active.attempts.len();
     let has_attempts_left = active.attempts.len() < settings.max_attempts as usize;
-    let is_permitted = is_repeatable && is_last_attempt && has_attempts_left && settings.allows_cancel;
+    let is_permitted = allows_retry && is_last_attempt && has_attempts_left && settings.allows_cancel;
     is_permitted && budget.can_pay() && !timeliness.cannot_be_in_time(active)
 }
--- a/crates/balancer-core/src/policy/retry/permission.rs
+++ b/crates/balancer-core/src/policy/retry/permission.rs
@@ -1,33 +1,39 @@
-//! What the rules permit for a request.
+//! The rules that limit the attempts of a request, above all to prevent duplicated effects.
 
 use crate::policy::requests::{ActiveRequest, Attempt, AttemptState};
 use crate::{CellId, DedupScope, Effect, Settings, Time, ZoneId};
 
-/// The servers that an attempt may go to.
+/// The servers that an attempt may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryScope {
+    /// No server.
     Nowhere,
+    /// Every server.
     Anywhere,
+    /// The servers in a zone.
     Zone(ZoneId),
+    /// The servers in a cell.
     Cell(CellId),
 }
 
 /// What the rules still permit for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptPermission {
-    /// Where another attempt may go.
+    /// The servers that the next attempt may be sent to.
     pub scope: RetryScope,
-    /// The last byte of a retry must be written by then.
+    /// The time by which the last byte of a retry must be written, if there is a limit.
     pub write_by: Option<Time>,
-    /// The request may be rejected, which promises its client that a retry is harmless.
+    /// Whether the request may be rejected. A rejection promises the client that a retry is harmless.
     pub may_reject: bool,
 }
 
 impl AttemptPermission {
-    /// What the rules permit now: all of "no duplicated effect" (WIRE page, section 2, rule 2) is here.
+    /// Returns what the rules permit for the request now. All of the rule "no duplicated effect" (WIRE page,
+    /// section 2, rule 2) is implemented here.
     pub fn of(settings: &Settings, active: &ActiveRequest, now: Time) -> Self {
         let by_effect = Self::by_effect(settings, active, now);
-        let scope = if is_closed(settings, active, now) { RetryScope::Nowhere } else { by_effect.scope };
+        let scope =
+            if is_attempt_forbidden(settings, active, now) { RetryScope::Nowhere } else { by_effect.scope };
         AttemptPermission {
             scope,
             may_reject: by_effect.may_reject && !active.is_bound_to_stream,
@@ -35,7 +41,8 @@
         }
     }
 
-    /// What the effect of the class permits after the attempts so far.
+    /// Returns what the effect of the request's class permits, considering only the attempts so far that may
+    /// have run.
     fn by_effect(settings: &Settings, active: &ActiveRequest, now: Time) -> Self {
         let first_run = active.attempts.iter().find(|attempt| attempt.state != AttemptState::DidNotRun);
         let unrestricted =
@@ -58,7 +65,8 @@
     }
 }
 
-/// The servers that still drop a repeat of `first_run` when it is written at `written_at`.
+/// Returns the servers that still recognise a retry as a duplicate of `first_run`, the first attempt that may
+/// have run, if the retry is written no later than at `written_at`.
 fn deduplicated_scope(
     scope: DedupScope,
     first_run: &Attempt,
@@ -75,11 +83,11 @@
     }
 }
 
-/// Whether no further attempt is permitted, whatever the effect.
-fn is_closed(settings: &Settings, active: &ActiveRequest, now: Time) -> bool {
+/// Whether another attempt is forbidden, whatever the effect of the request's class.
+fn is_attempt_forbidden(settings: &Settings, active: &ActiveRequest, now: Time) -> bool {
     let has_used_all_attempts = active.attempts.len() >= settings.max_attempts as usize;
-    let needs_hedging = active.has_attempt_in_flight() && !settings.allows_hedging;
-    has_used_all_attempts || active.is_bound_to_stream || now >= active.deadline || needs_hedging
+    let is_forbidden_hedge = active.has_attempt_in_flight() && !settings.allows_hedging;
+    has_used_all_attempts || active.is_bound_to_stream || now >= active.deadline || is_forbidden_hedge
 }
 
 #[cfg(test)]
--- a/crates/balancer-core/src/policy/retry/permission/tests.rs
+++ b/crates/balancer-core/src/policy/retry/permission/tests.rs
@@ -1,4 +1,4 @@
-//! What the rules permit for a request, condition by condition.
+//! Tests of what the rules permit for a request, one condition at a time.
 
 use super::*;
 use crate::policy::fleet::ServerRegistry;
@@ -17,7 +17,7 @@
 fn active_request(states: &[AttemptState]) -> ActiveRequest {
     let mut registry = ServerRegistry::new();
     registry.update(NOW, vec![Endpoint::serving(ServerId(1))], true);
-    let server = registry.find(ServerId(1)).expect("it is listed");
+    let server = registry.find(ServerId(1)).expect("the server is listed");
     let attempt = |&state| Attempt { server, zone: ZONE, cell: CELL, sent_at: NOW, state };
     ActiveRequest {
         request: Request::new(RequestId(1), ClassId(0), Span::from_millis(1000)),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn attempts_end_at_their_maximum() {
+fn no_attempt_is_sent_beyond_the_maximum() {
     let settings = settings(Effect::Idempotent);
 
     assert_eq!(
