--- a/crates/balancer-core/src/policy/deadline.rs
+++ b/crates/balancer-core/src/policy/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines: until when an answer has its full value, and what a request's remaining time still allows.
+//! Deadlines: until when a response has its full value, and what the time left still allows for a request.
 
 mod objective;
 mod timeliness;
--- a/crates/balancer-core/src/policy/deadline/objective.rs
+++ b/crates/balancer-core/src/policy/deadline/objective.rs
@@ -1,26 +1,28 @@
-//! Until when the answer to a request meets its latency objective.
+//! The time that a new request has left of its class's latency objective.
 
-use super::usual_timeout::UsualTimeout;
+use super::usual_timeout::TypicalTimeout;
 use crate::{ClassId, Settings, Span};
 
-/// What is known of the clients' timeouts, from which the objective of a client's own retry follows.
+/// The typical timeouts of the request classes. A request with a different timeout is taken to be a client's
+/// own retry, which has already used some of its latency objective.
 pub struct ObjectiveDeadlines {
-    /// By class.
-    usual_timeouts: Vec<UsualTimeout>,
+    /// The typical timeout of each class, by class id.
+    typical_timeouts: Vec<TypicalTimeout>,
 }
 
 impl ObjectiveDeadlines {
-    /// Nothing is known of the clients' timeouts.
+    /// Creates the state before any request has arrived, for this number of classes.
     pub fn new(class_count: usize) -> Self {
-        ObjectiveDeadlines { usual_timeouts: vec![UsualTimeout::default(); class_count] }
+        ObjectiveDeadlines { typical_timeouts: vec![TypicalTimeout::default(); class_count] }
     }
 
-    /// What is left of the class's latency objective for a new request whose client waits for `time_left`. A
-    /// client's own retry has spent some of it on its earlier tries.
+    /// Returns what is left of the class's latency objective for a new request whose deadline is `time_left`
+    /// from now. If the request is a client's own retry, the time that its earlier attempts took is deducted.
     pub fn objective_left(&mut self, settings: &Settings, class: ClassId, time_left: Span) -> Span {
-        let is_first_try = self.usual_timeouts[class.0].is_first_try(time_left, settings.event_interval);
+        let is_first_attempt =
+            self.typical_timeouts[class.0].detect_first_attempt(time_left, settings.event_interval);
         let class = settings.class(class);
-        let spent = if is_first_try { Span::ZERO } else { class.deadline.saturating_sub(time_left) };
-        class.latency_objective.saturating_sub(spent)
+        let used = if is_first_attempt { Span::ZERO } else { class.deadline.saturating_sub(time_left) };
+        class.latency_objective.saturating_sub(used)
     }
 }
--- a/crates/balancer-core/src/policy/deadline/timeliness/tests.rs
+++ b/crates/balancer-core/src/policy/deadline/timeliness/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what a request's remaining time allows.
+//! Tests of whether a request can still get a response in time, and of the delay advised for retries.
 
 use super::*;
 use crate::{Request, RequestClass, RequestId};
@@ -16,7 +16,7 @@
     Settings { classes: vec![class], ..Settings::default() }
 }
 
-/// A request whose answer has its full value for `objective_left` more milliseconds.
+/// Creates a request whose objective deadline is `objective_left` milliseconds after [`NOW`].
 fn active_request(objective_left: u64) -> ActiveRequest {
     ActiveRequest {
         request: Request::new(RequestId(1), CLASS, Span::from_millis(400)),
@@ -28,14 +28,14 @@
     }
 }
 
-fn with_timeliness<T>(settings: &Settings, judge: impl Fn(Timeliness<'_>) -> T) -> T {
-    // The usual latency that is assumed is a fifth of the objective: 20 ms.
+fn with_timeliness<T>(settings: &Settings, check: impl Fn(Timeliness<'_>) -> T) -> T {
+    // The initial typical latency is a fifth of the objective: 20 ms.
     let latency = FleetLatency::new(1);
-    judge(Timeliness { now: NOW, settings, latency: &latency })
+    check(Timeliness { now: NOW, settings, latency: &latency })
 }
 
 #[test]
-fn seven_tenths_of_the_usual_latency_must_be_left_of_the_objective() {
+fn seven_tenths_of_the_typical_latency_must_be_left_of_the_objective() {
     let settings = settings(0.0);
     with_timeliness(&settings, |timeliness| {
         assert!(timeliness.cannot_be_in_time(&active_request(14)));
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn the_deadline_counts_where_late_answers_have_a_value() {
+fn the_deadline_counts_where_late_responses_have_a_value() {
     let settings = settings(0.5);
     with_timeliness(&settings, |timeliness| assert!(!timeliness.cannot_be_in_time(&active_request(0))));
 }
 
 #[test]
-fn a_queued_request_needs_twice_the_present_latency() {
+fn a_queued_request_needs_twice_the_current_latency() {
     let settings = settings(0.5);
     with_timeliness(&settings, |timeliness| {
         assert!(timeliness.has_waited_too_long(&active_request(40)));
--- a/crates/balancer-core/src/policy/deadline/usual_timeout.rs
+++ b/crates/balancer-core/src/policy/deadline/usual_timeout.rs
@@ -1,31 +1,34 @@
-//! The timeouts that clients send their requests with.
+//! Detection of first attempts by the timeouts that clients set.
 
 use crate::Span;
 
-/// Votes that a usual timeout can gather; when clients change their timeouts, the new one is accepted after
-/// as many.
+/// Maximum number of votes for a typical timeout. When clients change their timeouts, the new one is accepted
+/// after at most as many requests.
 const MAX_VOTES: u32 = 50;
 
-/// The timeout that most requests of a class come with, which is that of a first try, and the votes for it.
+/// The timeout of most requests of a class, found by a majority vote over the requests so far.
+///
+/// All first attempts of a class have the same timeout. Any other timeout is what the earlier attempts of a
+/// client have left of the class's deadline.
 #[derive(Clone, Copy, Default)]
-pub struct UsualTimeout {
+pub struct TypicalTimeout {
     timeout: Span,
+    /// How many more requests voted for the timeout than against it, up to [`MAX_VOTES`].
     votes: u32,
 }
 
-impl UsualTimeout {
-    /// Whether a request is a first try, by majority vote over the requests so far. First tries of a class
-    /// have equal timeouts, within `tolerance`; another timeout is what earlier tries have left of the
-    /// class's deadline.
-    pub fn is_first_try(&mut self, time_left: Span, tolerance: Span) -> bool {
+impl TypicalTimeout {
+    /// Counts the vote of a new request, and returns whether the request is a first attempt: whether its
+    /// timeout differs from the typical one by no more than `tolerance`.
+    pub fn detect_first_attempt(&mut self, time_left: Span, tolerance: Span) -> bool {
         if self.votes == 0 {
-            *self = UsualTimeout { timeout: time_left, votes: 1 };
+            *self = TypicalTimeout { timeout: time_left, votes: 1 };
             return true;
         }
-        let is_usual = time_left.saturating_sub(self.timeout) <= tolerance
+        let is_typical = time_left.saturating_sub(self.timeout) <= tolerance
             && self.timeout.saturating_sub(time_left) <= tolerance;
-        self.votes = if is_usual { (self.votes + 1).min(MAX_VOTES) } else { self.votes - 1 };
-        is_usual
+        self.votes = if is_typical { (self.votes + 1).min(MAX_VOTES) } else { self.votes - 1 };
+        is_typical
     }
 }
 
