--- a/crates/balancer-core/src/policy/feedback.rs
+++ b/crates/balancer-core/src/policy/feedback.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt shows of the load of its server.
+//! What the end of an attempt shows about the load of its server.
 
 use super::concurrency::{LATE_RATIO, TARGET_RATIO};
 use super::fleet::ServerState;
@@ -6,14 +6,14 @@
 use crate::units::LatencyRatio;
 use crate::{Outcome, Settings};
 
-/// The latency ratio of an attempt that does not show load.
+/// The latency ratio of an attempt that shows nothing about the load of its server.
 pub const NO_LOAD: LatencyRatio = LatencyRatio::new(0.0);
 
-/// The latency of an ended attempt as a share of its class's objective, late answers all counted alike.
+/// Returns the latency ratio that an ended attempt counts as. All late responses count the same.
 ///
-/// An attempt that was lost while its server answered others in time shows no load: its connection was lost
-/// (docs/findings/lost-answers.md). An attempt that was cancelled may still be queued at the server and
-/// counts as late.
+/// An attempt without a response whose server responded quickly to other requests shows no load, because only
+/// its connection was lost (docs/findings/lost-answers.md). Any other attempt that timed out or was
+/// cancelled counts as late: a cancelled one may still be queued at the server.
 pub fn observed_ratio(
     settings: &Settings,
     server: &ServerState,
@@ -26,7 +26,7 @@
             let ratio = ended.elapsed.as_millis_f64() / objective.as_millis_f64();
             LatencyRatio::new(ratio.min(LATE_RATIO.value()))
         }
-        Outcome::TimedOut | Outcome::Cancelled if is_lost(server, attempt) => NO_LOAD,
+        Outcome::TimedOut | Outcome::Cancelled if is_connection_lost(server, attempt) => NO_LOAD,
         Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE_RATIO,
         Outcome::ServerError | Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::NotSent => {
             NO_LOAD
@@ -34,7 +34,8 @@
     }
 }
 
-/// Whether the server has responded to others since the attempt was sent, and does so quickly.
-fn is_lost(server: &ServerState, attempt: &InFlightAttempt) -> bool {
+/// Whether an attempt without a response has lost its connection: the server has responded to other attempts
+/// since this one was sent, and its smoothed latency is below the target.
+fn is_connection_lost(server: &ServerState, attempt: &InFlightAttempt) -> bool {
     server.health.has_responded_after(attempt.sent_at) && server.latency.ratio() < TARGET_RATIO
 }
--- a/crates/balancer-core/src/policy/overdue.rs
+++ b/crates/balancer-core/src/policy/overdue.rs
@@ -1,4 +1,4 @@
-//! Overdue attempts: which should have been answered by now, and which of their servers are silent.
+//! Detection of attempts that are overdue or slow, and of their servers that are silent.
 
 use super::admission::SLOW_RATIO;
 use super::concurrency::TARGET_RATIO;
@@ -8,39 +8,47 @@
 use crate::{RequestId, Settings, Span, Time};
 use std::collections::BTreeMap;
 
-/// An attempt is overdue at this multiple of the usual latency of its class ...
+/// Multiple of its expected latency after which an attempt is overdue.
 const OVERDUE_FACTOR: f64 = 4.0;
-/// ... and not before this share of its objective.
-const MIN_OVERDUE_SHARE: f64 = 0.6;
-/// The same for an attempt that is alone on its server, where it may well be a costly request.
-const MIN_OVERDUE_SHARE_ALONE: f64 = 1.0;
+/// Fraction of its latency objective before which an attempt is never overdue.
+const MIN_OVERDUE_FRACTION: f64 = 0.6;
+/// Fraction that replaces [`MIN_OVERDUE_FRACTION`] for an attempt that is alone on its server. Such an
+/// attempt may well be a costly request.
+const MIN_OVERDUE_FRACTION_ALONE: f64 = 1.0;
 
-/// An attempt that should have been answered by now.
+/// An attempt that should have got a response by now.
 pub struct OverdueAttempt {
+    /// The key of the attempt.
     pub key: AttemptKey,
+    /// The server that the attempt was sent to.
     pub server: ServerIndex,
-    /// Its server has not responded in any way since it was sent.
+    /// Whether the server has not responded in any way since the attempt was sent.
     pub is_server_silent: bool,
 }
 
-/// Looks for overdue attempts.
+/// A search for overdue attempts, with the state that it reads.
 pub struct OverdueSearch<'a> {
+    /// The current time.
     pub now: Time,
+    /// The settings of the balancer.
     pub settings: &'a Settings,
+    /// The servers of the fleet.
     pub fleet: &'a ServerRegistry,
+    /// The latencies of the request classes and of the fleet.
     pub latency: &'a FleetLatency,
+    /// The requests without a final response.
     pub requests: &'a BTreeMap<RequestId, ActiveRequest>,
 }
 
 impl OverdueSearch<'_> {
-    /// The overdue attempts whose server is silent, or answers others quickly
-    /// (docs/findings/lost-answers.md). Those of a server that is slow for all are left alone: they may still
-    /// be queued there.
+    /// Returns the overdue attempts whose server is silent, or responds quickly to other requests
+    /// (docs/findings/lost-answers.md). Overdue attempts on a server that is slow for all requests are left
+    /// out, because they may still be queued there.
     pub fn find(&self, in_flight: &AttemptsInFlight) -> Vec<OverdueAttempt> {
-        in_flight.iter().filter_map(|(key, attempt)| self.examine(key, attempt)).collect()
+        in_flight.iter().filter_map(|(key, attempt)| self.check(key, attempt)).collect()
     }
 
-    fn examine(&self, key: AttemptKey, attempt: &InFlightAttempt) -> Option<OverdueAttempt> {
+    fn check(&self, key: AttemptKey, attempt: &InFlightAttempt) -> Option<OverdueAttempt> {
         let server = &self.fleet[attempt.server];
         let is_overdue = self.now.since(attempt.sent_at) > self.max_time(key, attempt);
         let is_server_silent = server.health.is_silent_since(attempt.sent_at);
@@ -49,19 +57,20 @@
         (is_overdue && (is_server_silent || is_server_quick)).then_some(found)
     }
 
-    /// How long the attempt may take before it is overdue.
+    /// Returns how long the attempt may take before it is overdue. The expected latency is the highest of the
+    /// typical latency of the class, the median latency of the fleet, and the estimated work of the request.
     fn max_time(&self, key: AttemptKey, attempt: &InFlightAttempt) -> Span {
         let objective = self.settings.class(attempt.class).latency_objective;
         let is_alone = self.fleet[attempt.server].in_flight <= 1;
-        let min_share = if is_alone { MIN_OVERDUE_SHARE_ALONE } else { MIN_OVERDUE_SHARE };
+        let min_fraction = if is_alone { MIN_OVERDUE_FRACTION_ALONE } else { MIN_OVERDUE_FRACTION };
         let work_ms = self.estimated_work_ms(key.request);
         let typical_ratio = self.latency.typical_ratio(attempt.class).value();
         let median_ratio = self.latency.median_ratio().value();
-        let usual_ratio = typical_ratio.max(median_ratio).max(work_ms / objective.as_millis_f64());
-        objective * (OVERDUE_FACTOR * usual_ratio).max(min_share)
+        let expected_ratio = typical_ratio.max(median_ratio).max(work_ms / objective.as_millis_f64());
+        objective * (OVERDUE_FACTOR * expected_ratio).max(min_fraction)
     }
 
-    /// The work of the request; zero if it has its final answer already.
+    /// Returns the estimated work of the request, or zero if the request has already had its final response.
     fn estimated_work_ms(&self, request: RequestId) -> f64 {
         let active = self.requests.get(&request);
         active
@@ -69,8 +78,9 @@
     }
 }
 
-/// Marks the attempts that have become slow since the last call and returns how many there are. A slow answer
-/// is known to be slow before it arrives; waiting for it would let an overload grow.
+/// Marks the attempts in flight that have become slow since the last call, and returns their number. An
+/// attempt in flight is known to be slow before its response arrives. If admission control waited for the
+/// response, an overload would grow meanwhile.
 pub fn mark_slow_attempts(in_flight: &mut AttemptsInFlight, settings: &Settings, now: Time) -> usize {
     let mut newly_slow = 0;
     for attempt in in_flight.iter_mut().filter(|attempt| !attempt.is_counted_slow) {
--- a/crates/balancer-core/src/policy/overdue/tests.rs
+++ b/crates/balancer-core/src/policy/overdue/tests.rs
@@ -6,7 +6,8 @@
 const START: Time = Time::from_millis(1_000);
 const CLASS: ClassId = ClassId(0);
 
-/// A server that holds attempts of a class with an objective of 100 ms and a usual latency of 20 ms.
+/// A server with attempts in flight, of a class with a latency objective of 100 ms and a typical latency of
+/// 20 ms.
 struct Scenario {
     settings: Settings,
     fleet: ServerRegistry,
@@ -20,7 +21,7 @@
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let mut fleet = ServerRegistry::new();
         fleet.update(START, vec![Endpoint::serving(ServerId(1))], true);
-        let server = fleet.find(ServerId(1)).expect("it is listed");
+        let server = fleet.find(ServerId(1)).expect("the server is listed");
         fleet[server].in_flight = count as u32;
         let mut in_flight = AttemptsInFlight::default();
         for id in 0..count {
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn attempts_are_overdue_after_four_times_the_usual_latency() {
+fn attempts_are_overdue_after_four_times_the_typical_latency() {
     let scenario = Scenario::with_attempts(2);
 
     assert_eq!(scenario.overdue_after(80).len(), 0);
@@ -72,7 +73,7 @@
 
     let overdue = scenario.overdue_after(200);
 
-    assert_eq!(overdue.len(), 2, "the server's other answers are quick");
+    assert_eq!(overdue.len(), 2, "the latency of the server is low");
     assert!(overdue.iter().all(|attempt| !attempt.is_server_silent));
 }
 
--- a/crates/balancer-core/src/policy/requests.rs
+++ b/crates/balancer-core/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! Records of accepted requests and of their attempts. Nothing is decided here.
+//! Records of accepted requests and of their attempts. This module makes no decisions.
 
 mod active_request;
 mod attempts_in_flight;
--- a/crates/balancer-core/src/policy/requests/active_request.rs
+++ b/crates/balancer-core/src/policy/requests/active_request.rs
@@ -1,50 +1,57 @@
-//! The record of a request that has no final answer yet.
+//! The record of a request that has not had its final response yet.
 
 use crate::policy::fleet::ServerIndex;
 use crate::{CellId, ClassId, Request, Time, ZoneId};
 
-/// What is known of an attempt's effect.
+/// What is known about whether an attempt ran on its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// It ended, and it is certain that it never ran.
+    /// The attempt has ended and certainly never ran.
     DidNotRun,
-    /// It ended, and it may have run or still run.
+    /// The attempt has ended, but may have run or may still be running.
     MayHaveRun,
 }
 
 /// An attempt of a request, in flight or ended.
 #[derive(Debug, Clone)]
 pub struct Attempt {
+    /// The server that the attempt was sent to.
     pub server: ServerIndex,
+    /// The zone of the server.
     pub zone: ZoneId,
+    /// The cell of the server.
     pub cell: CellId,
+    /// When the attempt was sent.
     pub sent_at: Time,
+    /// Whether the attempt ran, as far as is known.
     pub state: AttemptState,
 }
 
-/// The one record of an accepted request; dropped when the request has its final answer.
+/// The record of an accepted request. The record is dropped when the request gets its final response.
 pub struct ActiveRequest {
+    /// The request as the client sent it.
     pub request: Request,
-    /// Its client waits no longer than this.
+    /// When the client stops waiting for the response.
     pub deadline: Time,
-    /// An answer after this has no value any more, or less of it.
+    /// When the latency objective ends: a later response has less value, or none.
     pub objective_deadline: Time,
+    /// All attempts so far, in flight and ended, by attempt number.
     pub attempts: Vec<Attempt>,
-    /// Its answer has begun to stream, so no other attempt can answer it.
+    /// Whether a response has begun to stream, so that no other attempt can serve the request.
     pub is_bound_to_stream: bool,
-    /// Its tenant had used up its share when it arrived.
+    /// Whether the request exceeded its tenant's share when it arrived.
     pub is_over_share: bool,
 }
 
 impl ActiveRequest {
-    /// Its class.
+    /// Returns the class of the request.
     pub fn class(&self) -> ClassId {
         self.request.class
     }
 
-    /// Whether an attempt of it has not ended.
+    /// Whether any attempt of the request is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
--- a/crates/balancer-core/src/policy/requests/attempts_in_flight.rs
+++ b/crates/balancer-core/src/policy/requests/attempts_in_flight.rs
@@ -4,43 +4,51 @@
 use crate::{AttemptNumber, ClassId, LoadReport, Outcome, RequestId, Span, Time};
 use std::collections::BTreeMap;
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
+    /// The request that the attempt belongs to.
     pub request: RequestId,
+    /// The number of the attempt among those of the request.
     pub attempt: AttemptNumber,
 }
 
-/// An attempt that has not ended; it outlives its request if that ends first.
+/// An attempt that has not ended. The attempt is kept even if its request gets its final response first.
 pub struct InFlightAttempt {
+    /// The server that the attempt was sent to.
     pub server: ServerIndex,
+    /// The class of the request.
     pub class: ClassId,
+    /// When the attempt was sent.
     pub sent_at: Time,
-    /// It probes whether an ejected server has recovered.
+    /// Whether the attempt is a probe of an ejected server.
     pub is_probe: bool,
-    /// Admission control has already counted it as slow.
+    /// Whether admission control has already counted the attempt as slow.
     pub is_counted_slow: bool,
 }
 
-/// The end of an attempt.
+/// How an attempt ended.
 pub struct EndedAttempt {
+    /// The key of the attempt.
     pub key: AttemptKey,
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time from the sending of the attempt to its end.
     pub elapsed: Span,
+    /// The load report of the server, if it sent one.
     pub load_report: Option<LoadReport>,
-    /// Its request has its final answer.
+    /// Whether the request has had its final response.
     pub is_request_finished: bool,
 }
 
-/// The attempts that have not ended, by request and number.
+/// The attempts that have not ended, ordered by request and attempt number.
 #[derive(Default)]
 pub struct AttemptsInFlight {
     attempts: BTreeMap<AttemptKey, InFlightAttempt>,
 }
 
 impl AttemptsInFlight {
-    /// How many there are.
+    /// Returns the number of attempts in flight.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
@@ -50,17 +58,17 @@
         self.attempts.insert(key, attempt);
     }
 
-    /// Removes an attempt that has ended; `None` if there is no such attempt.
+    /// Removes and returns an attempt that has ended, or returns `None` if there is no attempt with this key.
     pub fn remove(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
         self.attempts.remove(&key)
     }
 
-    /// All attempts, in the order of their keys.
+    /// Returns all attempts with their keys, in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (AttemptKey, &InFlightAttempt)> {
         self.attempts.iter().map(|(&key, attempt)| (key, attempt))
     }
 
-    /// All attempts, in the order of their keys.
+    /// Returns all attempts for modification, in the order of their keys.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut InFlightAttempt> {
         self.attempts.values_mut()
     }
