--- a/crates/balancer-core/src/balancer.rs
+++ b/crates/balancer-core/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The balancer: handles events, orders the steps, and turns what the concerns of [`crate::policy`] decide
-//! into actions. It holds no rule of its own.
+//! The [`Balancer`]: dispatches events to the components of [`crate::policy`] and turns their decisions into
+//! actions. All decision rules are in those components; this module only determines the order of the steps.
 
 mod endpoints;
 mod feedback;
@@ -25,13 +25,13 @@
 use crate::{Action, DiscoveryMode, Event, RequestId, Settings, SettingsError, Time, TimerId};
 use std::collections::BTreeMap;
 
-/// The decisions of one client process about where, when and how often its requests are sent.
+/// Decides where, when and how often the requests of one client process are sent.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
-    /// The time of the event that is being handled.
+    /// The time of the current event.
     now: Time,
-    /// The actions that the event has led to so far.
+    /// The actions that the current event has caused so far.
     actions: Vec<Action>,
     ticks: TickSchedule,
     watch_retry: WatchRetry,
@@ -42,6 +42,7 @@
     load_reports: LoadReports,
     load_polling: LoadPolling,
     router: Router,
+    /// The requests that have no final response yet.
     requests: BTreeMap<RequestId, ActiveRequest>,
     in_flight: AttemptsInFlight,
     objectives: ObjectiveDeadlines,
@@ -52,11 +53,11 @@
 }
 
 impl Balancer {
-    /// A balancer for these settings; equal seeds and events give equal actions.
+    /// Creates a balancer. Balancers with equal settings, seeds and events return equal actions.
     ///
     /// # Errors
     ///
-    /// If the settings are such that no balancer can work with them.
+    /// Returns an error if the settings are invalid; see [`SettingsError`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let class_count = settings.classes.len();
@@ -84,7 +85,8 @@
         })
     }
 
-    /// To be called once, before the first event; appends what is to be done.
+    /// Starts the balancer and appends its first actions to `out`. The caller calls this once, before the
+    /// first event.
     pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         self.now = now;
         if self.settings.discovery_mode == DiscoveryMode::OnRequest {
@@ -94,11 +96,11 @@
         out.append(&mut self.actions);
     }
 
-    /// Handles an event that happened at `now` and appends what is to be done about it.
+    /// Handles an event that happened at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Request(request) => self.accept(request),
+            Event::Request(request) => self.handle_request(request),
             Event::FirstByte { request, attempt } => self.bind_to_stream(request, attempt),
             Event::AttemptEnded { request, attempt, outcome, elapsed, load_report, is_request_finished } => {
                 let key = AttemptKey { request, attempt };
@@ -118,8 +120,8 @@
         out.append(&mut self.actions);
     }
 
-    /// The periodic work, in this order: the watch, what is learned of the fleet as a whole, overdue
-    /// attempts, and the queue.
+    /// Does the periodic work, in this order: reopens a broken watch if its backoff is over, refreshes the
+    /// estimates for the whole fleet, handles overdue attempts, and sends queued requests.
     fn tick(&mut self) {
         if !self.ticks.is_due(self.now) {
             return;
@@ -128,24 +130,27 @@
             self.actions.push(Action::WatchEndpoints);
         }
         self.latency.refresh_median(self.fleet.serving_states().map(|server| &server.latency));
-        self.measure_capacity();
+        self.refresh_capacity();
         self.shedder.rank_classes(&self.settings, &self.latency);
         self.handle_overdue_attempts();
         self.drain_queue();
         self.schedule_next_tick();
     }
 
+    /// Sets the timer for the next tick.
     fn schedule_next_tick(&mut self) {
         let at = self.ticks.schedule_next(self.now, !self.queue.is_empty());
         self.actions.push(Action::SetTimer { at, timer: TimerId::Tick });
     }
 
+    /// Sets a timer for an earlier tick, unless the next tick is due soon already.
     fn schedule_tick_soon(&mut self) {
         if let Some(at) = self.ticks.schedule_soon(self.now) {
             self.actions.push(Action::SetTimer { at, timer: TimerId::Tick });
         }
     }
 
+    /// Returns the [`Timeliness`] that decides at the current time whether requests can be served in time.
     fn timeliness(&self) -> Timeliness<'_> {
         Timeliness { now: self.now, settings: &self.settings, latency: &self.latency }
     }
--- a/crates/balancer-core/src/balancer/endpoints.rs
+++ b/crates/balancer-core/src/balancer/endpoints.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and what follows from them for the fleet as a whole.
+//! Applies changes of the endpoint list and refreshes everything that depends on the set of servers.
 
 use super::Balancer;
 use crate::policy::fleet::ServerIndex;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl Balancer {
-    /// Handles news of the endpoint list.
+    /// Handles a change of the endpoint list or the failure of its watch.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         match update {
             EndpointUpdate::Failed => {
@@ -21,6 +21,7 @@
         }
     }
 
+    /// Applies changed entries, or the complete list if `is_complete`.
     fn apply_endpoints(&mut self, endpoints: Vec<Endpoint>, is_complete: bool) {
         self.watch_retry.reset_backoff();
         for restarted in self.fleet.update(self.now, endpoints, is_complete) {
@@ -30,12 +31,12 @@
         self.fleet.refresh_serving();
         let fleet = &self.fleet;
         self.router.retain(|server| fleet[server].endpoint.is_serving());
-        self.measure_capacity();
+        self.refresh_capacity();
         self.refresh_view();
         self.drain_queue();
     }
 
-    /// Forgets the servers that were removed a while ago and that no request or poll refers to.
+    /// Forgets the servers that were removed a while ago and that no request or load poll refers to.
     fn forget_removed(&mut self) {
         let removed = self.fleet.removed_long_ago(self.now);
         if removed.is_empty() {
@@ -50,15 +51,16 @@
         self.latency.retain_machine_kinds(&self.fleet.machine_kinds());
     }
 
-    /// The servers that requests or polls refer to.
+    /// Returns the servers that active requests or load polls refer to.
     fn referenced_servers(&self) -> BTreeSet<ServerIndex> {
         let polled = self.load_polling.polled_servers();
         let attempts = self.requests.values().flat_map(|active| &active.attempts);
         polled.chain(attempts.map(|attempt| attempt.server)).collect()
     }
 
-    /// Measures the capacity of the serving fleet, in warm servers.
-    pub(super) fn measure_capacity(&mut self) {
+    /// Recomputes the capacity of the serving fleet, in units of one warm server, and passes it to slow start
+    /// and admission control.
+    pub(super) fn refresh_capacity(&mut self) {
         let share_of = |endpoint| capacity_share(&self.settings, endpoint, self.now);
         let serving = self.fleet.serving_states();
         let shares: Vec<CapacityShare> = serving.map(|server| share_of(&server.endpoint)).collect();
@@ -66,7 +68,8 @@
         self.admission.follow_capacity(shares.iter().map(|share| share.value()).sum());
     }
 
-    /// Decides anew how much of a server's load is seen, and tells the concerns that behave accordingly.
+    /// Recomputes whether the view of the fleet is dense or sparse, and notifies the components whose
+    /// behaviour depends on the view.
     fn refresh_view(&mut self) {
         self.fleet.refresh_view(self.settings.balancer_count);
         let view = self.fleet.view();
--- a/crates/balancer-core/src/balancer/feedback.rs
+++ b/crates/balancer-core/src/balancer/feedback.rs
@@ -1,4 +1,4 @@
-//! What is learned when an attempt ends, concern by concern.
+//! Updates the estimates of all components when an attempt ends.
 
 use super::Balancer;
 use crate::policy::concurrency::{min_limit, AnswerSample, LATE_RATIO};
@@ -11,16 +11,18 @@
 use crate::Outcome;
 
 impl Balancer {
-    /// Learns from an ended attempt.
-    pub(super) fn learn(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt) {
+    /// Records the outcome and latency of an ended attempt in all components that use them. If the attempt
+    /// was a probe, decides whether the ejection of its server ends; otherwise, ejects the server if it is an
+    /// outlier.
+    pub(super) fn record_attempt_end(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt) {
         let ratio = observed_ratio(&self.settings, &self.fleet[attempt.server], attempt, ended);
         let shows_load = ratio > NO_LOAD;
         if shows_load && !attempt.is_counted_slow {
             self.admission.record(ratio, self.in_flight.len());
         }
-        self.learn_outcome(attempt, ended.outcome, ratio);
+        self.record_outcome(attempt, ended.outcome, ratio);
         if shows_load {
-            self.learn_latency(attempt, ended, ratio);
+            self.record_latency(attempt, ended, ratio);
         }
         let result = AttemptResult { outcome: ended.outcome, ratio };
         if attempt.is_probe {
@@ -32,8 +34,9 @@
         self.eject_if_outlier(attempt, result);
     }
 
-    /// Records what an outcome shows of a server's health and of the link to its zone.
-    fn learn_outcome(&mut self, attempt: &InFlightAttempt, outcome: Outcome, ratio: LatencyRatio) {
+    /// Records an outcome for the health and suspicion of its server and for the network link to its zone.
+    /// Records the latency ratio too if the attempt was served.
+    fn record_outcome(&mut self, attempt: &InFlightAttempt, outcome: Outcome, ratio: LatencyRatio) {
         let server = &mut self.fleet[attempt.server];
         server.health.record(self.now, outcome);
         server.suspicion.record(self.now, outcome, ratio >= LATE_RATIO);
@@ -43,8 +46,9 @@
         }
     }
 
-    /// Records what a latency shows of a server, its kind of machine, slow start and its concurrency limit.
-    fn learn_latency(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt, ratio: LatencyRatio) {
+    /// Records a latency that shows the load of its server. Updates the estimates for the server and its
+    /// machine kind, slow start, and the server's concurrency limit.
+    fn record_latency(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt, ratio: LatencyRatio) {
         let server = &mut self.fleet[attempt.server];
         let share = capacity_share(&self.settings, &server.endpoint, self.now);
         self.slow_start.record_latency(share, ratio);
@@ -59,8 +63,9 @@
         }
     }
 
-    /// In a sparse view own counts do not show that a noisy neighbour slows a server, and it would stay
-    /// remembered.
+    /// Removes a server from the router's memory if it is slow and the view is sparse. In a sparse view, the
+    /// balancer's own counts of requests in flight do not reveal that a noisy neighbour slows the server
+    /// down, so the router would continue to remember it.
     fn forget_if_slow(&mut self, attempt: &InFlightAttempt, ratio: LatencyRatio) {
         let is_slow = is_relatively_slow(ratio, self.latency.median_ratio());
         if self.fleet.view() == FleetView::Sparse && is_slow {
@@ -68,11 +73,12 @@
         }
     }
 
+    /// Ejects the server of an ended attempt if it is an outlier. In a sparse view, suspects it instead.
     fn eject_if_outlier(&mut self, attempt: &InFlightAttempt, result: AttemptResult) {
         let server = &self.fleet[attempt.server];
         let reason = find_outlier(server, result, self.latency.median_ratio(), self.fleet.view());
         if let Some(reason) = reason {
-            self.eject(attempt.server, reason);
+            self.eject_or_suspect(attempt.server, reason);
         }
     }
 }
--- a/crates/balancer-core/src/balancer/health.rs
+++ b/crates/balancer-core/src/balancer/health.rs
@@ -1,4 +1,4 @@
-//! Ejection, suspicion and overdue attempts.
+//! Ejects or suspects unhealthy servers, and cancels overdue attempts.
 
 use super::Balancer;
 use crate::policy::concurrency::LATE_RATIO;
@@ -11,7 +11,7 @@
 use crate::{Action, EjectionReason, LoadReport, Notice, Outcome, ServerId};
 
 impl Balancer {
-    /// Handles the end of a health check: its load report, or its failure.
+    /// Handles the end of a health check: records its load report, or ejects the server if the check failed.
     pub(super) fn end_health_check(
         &mut self,
         server: ServerId,
@@ -21,20 +21,25 @@
         let Some(index) = self.fleet.find(server) else { return };
         match load_report {
             Some(report) => self.record_load_report(index, report),
-            None if outcome != Outcome::Success => self.eject(index, EjectionReason::FailedHealthCheck),
+            None if outcome != Outcome::Success => {
+                self.eject_or_suspect(index, EjectionReason::FailedHealthCheck);
+            }
             None => {}
         }
         self.finish_polls();
     }
 
-    /// Excludes a server from selection and memory. In a sparse view it comes under suspicion instead.
-    pub(super) fn eject(&mut self, index: ServerIndex, reason: EjectionReason) {
+    /// Ejects a server in a dense view, or suspects it in a sparse view. An ejected or suspected server is
+    /// removed from the router's memory.
+    pub(super) fn eject_or_suspect(&mut self, index: ServerIndex, reason: EjectionReason) {
         match self.fleet.view() {
             FleetView::Dense => self.eject_and_notify(index, reason),
             FleetView::Sparse => self.suspect(index),
         }
     }
 
+    /// Ejects a server and notifies the operators. Does nothing if the server is ejected already, or if too
+    /// many others are.
     fn eject_and_notify(&mut self, index: ServerIndex, reason: EjectionReason) {
         if !outlier::eject(&mut self.fleet, index, self.now) {
             return;
@@ -49,6 +54,7 @@
         }));
     }
 
+    /// Suspects a server and sends gossip about it to some peers.
     fn suspect(&mut self, index: ServerIndex) {
         self.router.forget(index);
         let server = &mut self.fleet[index];
@@ -57,7 +63,7 @@
         }
     }
 
-    /// Handles gossip: the server that it names is suspected and forgotten.
+    /// Handles gossip: suspects the server that the message names and removes it from the router's memory.
     pub(super) fn receive_gossip(&mut self, payload: &[u8]) {
         if receive_gossip(payload, self.now, &mut self.fleet).is_none() {
             return;
@@ -66,7 +72,8 @@
         self.router.retain(|server| !fleet[server].suspicion.is_active(self.now));
     }
 
-    /// Ejects the silent servers, and cancels the overdue attempts whose request can be retried in time.
+    /// Ejects servers that have been silent since an overdue attempt was sent. Cancels the overdue attempts
+    /// whose request can still be retried in time.
     pub(super) fn handle_overdue_attempts(&mut self) {
         let search = OverdueSearch {
             now: self.now,
@@ -80,13 +87,14 @@
             self.count_slow_attempts();
         }
         for attempt in overdue.iter().filter(|attempt| attempt.is_server_silent) {
-            self.eject(attempt.server, EjectionReason::Silent);
+            self.eject_or_suspect(attempt.server, EjectionReason::Silent);
         }
         for attempt in overdue {
             self.cancel_if_retriable(attempt.key);
         }
     }
 
+    /// Counts attempts in flight that have just become slow as late responses for admission control.
     fn count_slow_attempts(&mut self) {
         let newly_slow = mark_slow_attempts(&mut self.in_flight, &self.settings, self.now);
         for _ in 0..newly_slow {
@@ -94,6 +102,7 @@
         }
     }
 
+    /// Cancels an overdue attempt if its request may be retried on another server.
     fn cancel_if_retriable(&mut self, key: AttemptKey) {
         let Some(active) = self.requests.get(&key.request) else { return };
         if may_cancel_and_retry(active, key, &self.retry_budget, &self.timeliness()) {
--- a/crates/balancer-core/src/balancer/polling.rs
+++ b/crates/balancer-core/src/balancer/polling.rs
@@ -1,4 +1,4 @@
-//! Load reports, and the polls of candidates for their load.
+//! Records load reports, and polls candidate servers for their load before one of them is chosen.
 
 use super::Balancer;
 use crate::policy::fleet::ServerIndex;
@@ -6,13 +6,14 @@
 use crate::{Action, LoadReport, RequestId, TimerId};
 
 impl Balancer {
+    /// Records a load report of a server.
     pub(super) fn record_load_report(&mut self, index: ServerIndex, report: &LoadReport) {
         let server = &mut self.fleet[index].reported_load;
         self.load_reports.record(&self.settings, server, report, self.now);
     }
 
-    /// Polls the candidates of a request; the choice waits until all have answered, for a small part of the
-    /// objective.
+    /// Polls the candidates of a request for their load. The request waits until all of them have reported,
+    /// but no longer than a small fraction of its latency objective.
     pub(super) fn poll_loads(&mut self, id: RequestId, candidates: Vec<ServerIndex>) {
         let active = &self.requests[&id];
         let objective = self.settings.class(active.class()).latency_objective;
@@ -24,20 +25,21 @@
         self.actions.push(Action::SetTimer { at: poll.answer_by(), timer: TimerId::LoadPollTimeout });
     }
 
-    /// Sends the requests whose candidates have all reported, or have been waited for long enough.
+    /// Sends the requests whose candidates have all reported or whose poll has timed out.
     pub(super) fn finish_polls(&mut self) {
         for poll in self.load_polling.take_finished(self.now, &self.fleet) {
             self.finish_poll(&poll);
         }
     }
 
-    /// Sends a request to the lightest of the candidates that have reported, or of all if none has.
+    /// Sends a request to the least loaded of the candidates that have reported, or of all candidates if none
+    /// has. Queues the request if none of them is eligible any more.
     fn finish_poll(&mut self, poll: &LoadPoll) {
         let mut candidates = poll.best_candidates(&self.fleet);
-        let choice = self.server_choice();
-        let Some(request) = choice.describe(poll.request()) else { return };
-        candidates.retain(|&server| choice.is_open(server, &request));
-        if !self.send_to_lightest(&request, &candidates) {
+        let selector = self.server_selector();
+        let Some(request) = selector.routing_request(poll.request()) else { return };
+        candidates.retain(|&server| selector.is_eligible(server, &request));
+        if !self.send_to_least_loaded(&request, &candidates) {
             self.enqueue(poll.request());
         }
     }
--- a/crates/balancer-core/src/balancer/requests.rs
+++ b/crates/balancer-core/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: accepted, sent or queued, retried, and given its one final answer.
+//! The life cycle of a request: arrival, sending or queueing, retries, and the one final response.
 
 use super::Balancer;
 use crate::policy::deadline::retry_after;
@@ -8,9 +8,9 @@
 use crate::{Action, AttemptNumber, Outcome, Request, RequestId};
 
 impl Balancer {
-    /// Accepts a request: sends, queues or finishes it. One of an unknown class is rejected, and one whose id
-    /// is in use already is ignored.
-    pub(super) fn accept(&mut self, request: Request) {
+    /// Sends or queues a new request, or finishes it if it would be too late or is shed. A request of an
+    /// unknown class is rejected. A request with the id of an active request is ignored.
+    pub(super) fn handle_request(&mut self, request: Request) {
         let id = request.id;
         if !self.settings.has_class(request.class) {
             self.actions.push(Action::Reject { request: id, retry_after: None });
@@ -19,21 +19,21 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        let active = self.activate(request);
+        let active = self.create_active_request(request);
         let shed_order = self.shedder.order_of(&active);
         let is_too_late = self.timeliness().cannot_be_in_time(&active);
         self.requests.insert(id, active);
         self.suspicion.earn_gossip();
         self.retry_budget.earn();
         if is_too_late || !self.admission.admits(shed_order, &self.shedder, &mut self.rng) {
-            self.finish(id);
+            self.finish_unserved(id);
             return;
         }
         self.send_or_enqueue(id);
     }
 
-    /// The record of a request that has just arrived.
-    fn activate(&mut self, request: Request) -> ActiveRequest {
+    /// Counts a request that has just arrived as traffic and creates its record.
+    fn create_active_request(&mut self, request: Request) -> ActiveRequest {
         let deadline = self.now + request.time_left;
         let objective_left = self.objectives.objective_left(&self.settings, request.class, request.time_left);
         self.shedder.count(self.now, &request);
@@ -48,22 +48,24 @@
         }
     }
 
-    /// A stream has begun: no other attempt can answer the request.
+    /// Binds a request to the attempt whose response has begun to stream. No other attempt can supply the
+    /// response from then on.
     pub(super) fn bind_to_stream(&mut self, id: RequestId, attempt: AttemptNumber) {
         if let Some(active) = self.requests.get_mut(&id) {
             active.is_bound_to_stream = (attempt.0 as usize) < active.attempts.len();
         }
     }
 
-    /// Handles the end of an attempt: learns from it, and retries or finishes its request if that needs it.
+    /// Handles the end of an attempt: records it, and retries or finishes its request if that has no final
+    /// response yet.
     pub(super) fn end_attempt(&mut self, ended: &EndedAttempt) {
         let Some(attempt) = self.in_flight.remove(ended.key) else { return };
         self.fleet[attempt.server].in_flight -= 1;
         if let Some(report) = &ended.load_report {
             self.record_load_report(attempt.server, report);
         }
-        self.learn(&attempt, ended);
-        self.release_connections(attempt.server);
+        self.record_attempt_end(&attempt, ended);
+        self.close_unneeded_connections(attempt.server);
         let request = ended.key.request;
         if ended.is_request_finished {
             self.requests.remove(&request);
@@ -76,14 +78,15 @@
         self.drain_queue();
     }
 
-    /// Decides what follows a failed attempt of a request that is not answered yet.
+    /// Retries a request whose attempt has failed, or finishes it unserved if no retry is possible. Does
+    /// nothing while another attempt of the request is in flight.
     fn retry_or_finish(&mut self, id: RequestId, outcome: Outcome) {
         let active = &self.requests[&id];
         if active.has_attempt_in_flight() {
             return;
         }
         if !may_retry(active, outcome, &self.retry_budget, &self.timeliness()) {
-            self.finish(id);
+            self.finish_unserved(id);
             return;
         }
         if !outcome.proves_not_run() {
@@ -92,21 +95,23 @@
         self.send_or_enqueue(id);
     }
 
+    /// Sends a request, or queues it if no server is eligible.
     fn send_or_enqueue(&mut self, id: RequestId) {
         if !self.dispatch(id) {
             self.enqueue(id);
         }
     }
 
-    /// Queues a request, or finishes it if the queue is full.
+    /// Queues a request, or finishes it unserved if the queue is full.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         match self.queue.push(id) {
             Ok(()) => self.schedule_tick_soon(),
-            Err(QueueFull) => self.finish(id),
+            Err(QueueFull) => self.finish_unserved(id),
         }
     }
 
-    /// Sends what is queued and can go, and gives up what can no longer be answered in time.
+    /// Sends the queued requests for which a server is eligible, and finishes those that can no longer be
+    /// served in time.
     pub(super) fn drain_queue(&mut self) {
         if self.queue.is_empty() {
             return;
@@ -115,22 +120,24 @@
             let active = self.requests.get(&id)?;
             Some((active.is_over_share, self.shedder.class_order(active.class())))
         });
-        queued.retain(|&id| self.stays_queued(id));
+        queued.retain(|&id| self.process_queued(id));
         self.queue.restore(queued);
     }
 
-    /// Sends or gives up a queued request if it can be; true if it goes on waiting.
-    fn stays_queued(&mut self, id: RequestId) -> bool {
+    /// Sends a queued request, or finishes it unserved if it has waited too long. Returns true if the request
+    /// must stay in the queue.
+    fn process_queued(&mut self, id: RequestId) -> bool {
         let Some(active) = self.requests.get(&id) else { return false };
         if self.timeliness().has_waited_too_long(active) {
-            self.finish(id);
+            self.finish_unserved(id);
             return false;
         }
         !self.dispatch(id)
     }
 
-    /// Gives the final answer: a rejection if a retry is harmless to its effect, else a failure.
-    fn finish(&mut self, id: RequestId) {
+    /// Gives a request its final response without serving it: rejects the request if a retry by the client
+    /// cannot duplicate its effect, and fails it otherwise.
+    fn finish_unserved(&mut self, id: RequestId) {
         let Some(active) = self.requests.remove(&id) else { return };
         if AttemptPermission::of(&self.settings, &active, self.now).may_reject {
             let retry_after = retry_after(&self.settings, active.class());
--- a/crates/balancer-core/src/balancer/sending.rs
+++ b/crates/balancer-core/src/balancer/sending.rs
@@ -1,4 +1,4 @@
-//! Choosing a server for a request and sending it there.
+//! Selects a server for a request and sends the request to it.
 
 use super::Balancer;
 use crate::policy::fleet::ServerIndex;
@@ -8,37 +8,41 @@
 use crate::{Action, AttemptNumber, RequestId};
 use std::collections::BTreeMap;
 
-/// What the choice of a server looks at, and the generator that it draws from.
-pub(super) struct ServerChoice<'a> {
+/// Selects servers: the [`Router`] together with everything that its decisions depend on.
+pub(super) struct ServerSelector<'a> {
     context: RoutingContext<'a>,
     router: &'a Router,
     requests: &'a BTreeMap<RequestId, ActiveRequest>,
     rng: &'a mut fastrand::Rng,
 }
 
-impl ServerChoice<'_> {
-    /// What the choice must know of a request; `None` if the request has its final answer.
-    pub(super) fn describe(&self, id: RequestId) -> Option<RoutingRequest> {
+impl ServerSelector<'_> {
+    /// Returns the properties of a request that server selection depends on, or `None` if the request is
+    /// finished.
+    pub(super) fn routing_request(&self, id: RequestId) -> Option<RoutingRequest> {
         let active = self.requests.get(&id)?;
         Some(self.router.describe(&self.context, active))
     }
 
-    /// Whether a server may be sent this request now.
-    pub(super) fn is_open(&self, server: ServerIndex, request: &RoutingRequest) -> bool {
+    /// Returns whether this request may be sent to the server now.
+    pub(super) fn is_eligible(&self, server: ServerIndex, request: &RoutingRequest) -> bool {
         self.context.is_open(server, request)
     }
 
+    /// Draws the candidate servers for a request. The result is empty if no server is eligible.
     fn candidates(&mut self, request: &RoutingRequest) -> Vec<ServerIndex> {
         self.router.candidates(&self.context, request, self.rng)
     }
 
-    fn lightest(&mut self, request: &RoutingRequest, candidates: &[ServerIndex]) -> Option<ServerIndex> {
+    /// Returns the least loaded candidate, or `None` if there are no candidates.
+    fn least_loaded(&mut self, request: &RoutingRequest, candidates: &[ServerIndex]) -> Option<ServerIndex> {
         self.router.lightest(&self.context, request, candidates, self.rng)
     }
 }
 
 impl Balancer {
-    pub(super) fn server_choice(&mut self) -> ServerChoice<'_> {
+    /// Returns a selector that works on the current state of the balancer.
+    pub(super) fn server_selector(&mut self) -> ServerSelector<'_> {
         let context = RoutingContext {
             now: self.now,
             settings: &self.settings,
@@ -50,31 +54,38 @@
             load_reports: &self.load_reports,
             load_polling: &self.load_polling,
         };
-        ServerChoice { context, router: &self.router, requests: &self.requests, rng: &mut self.rng }
+        ServerSelector { context, router: &self.router, requests: &self.requests, rng: &mut self.rng }
     }
 
-    /// Sends a request to the lightest candidate, or polls the candidates first. False if there is none.
+    /// Sends a request to the least loaded candidate, or polls the candidates first if polling is enabled.
+    /// Returns false if no server is eligible.
     pub(super) fn dispatch(&mut self, id: RequestId) -> bool {
-        let mut choice = self.server_choice();
-        let Some(request) = choice.describe(id) else { return true };
-        let candidates = choice.candidates(&request);
+        let mut selector = self.server_selector();
+        let Some(request) = selector.routing_request(id) else { return true };
+        let candidates = selector.candidates(&request);
         if self.load_polling.is_enabled() && !candidates.is_empty() {
             self.poll_loads(id, candidates);
             return true;
         }
-        self.send_to_lightest(&request, &candidates)
+        self.send_to_least_loaded(&request, &candidates)
     }
 
-    /// The routing rule: sends to the lightest candidate and remembers it. False if there is none.
-    pub(super) fn send_to_lightest(&mut self, request: &RoutingRequest, candidates: &[ServerIndex]) -> bool {
-        let Some(server) = self.server_choice().lightest(request, candidates) else { return false };
+    /// Sends a request to the least loaded candidate, and adds that server to the router's memory. Returns
+    /// false if there are no candidates.
+    pub(super) fn send_to_least_loaded(
+        &mut self,
+        request: &RoutingRequest,
+        candidates: &[ServerIndex],
+    ) -> bool {
+        let Some(server) = self.server_selector().least_loaded(request, candidates) else { return false };
         for displaced in self.router.remember(server, request, self.fleet.view()) {
-            self.release_connections(displaced);
+            self.close_unneeded_connections(displaced);
         }
         self.send(request, server);
         true
     }
 
+    /// Records an attempt to a server and emits the action that sends it.
     fn send(&mut self, request: &RoutingRequest, index: ServerIndex) {
         self.record_work(request, index);
         let Some(active) = self.requests.get_mut(&request.id) else { return };
@@ -106,14 +117,15 @@
         });
     }
 
+    /// Records for slow start that a server is sent the work of this request.
     fn record_work(&mut self, request: &RoutingRequest, index: ServerIndex) {
         let server = &mut self.fleet[index];
         let share = capacity_share(&self.settings, &server.endpoint, self.now);
         self.slow_start.record_work(&self.settings, &mut server.warm_up_work, share, request.work, self.now);
     }
 
-    /// Closes the idle connections to a server that is not worth them.
-    pub(super) fn release_connections(&mut self, index: ServerIndex) {
+    /// Closes the idle connections to a server if the router no longer needs them.
+    pub(super) fn close_unneeded_connections(&mut self, index: ServerIndex) {
         if self.router.releases_connections(&self.fleet, index) {
             let server = self.fleet[index].endpoint.server;
             self.actions.push(Action::CloseIdle { server });
--- a/crates/balancer-core/src/balancer/tests.rs
+++ b/crates/balancer-core/src/balancer/tests.rs
@@ -1,5 +1,4 @@
-//! Tests of what a balancer keeps: nothing of servers that have left, and nothing that a later server would
-//! inherit.
+//! Tests that a balancer drops the records of removed servers and does not attribute them to later servers.
 
 use super::*;
 use crate::{
@@ -7,13 +6,13 @@
     RoutingKey, ServerId, Span, ZoneId,
 };
 
-/// An endpoint in a zone and of a machine kind of its own.
+/// Returns an endpoint with a zone and a machine kind that no other endpoint has.
 fn endpoint(id: u32, status: EndpointStatus) -> Endpoint {
     let (zone, machine_kind) = (ZoneId(id), MachineKindId(id));
     Endpoint { zone, machine_kind, status, ..Endpoint::serving(ServerId(id)) }
 }
 
-/// Sends a request with a routing key of its own; the server that it is sent to.
+/// Handles a new request with a unique routing key and returns the server that it is sent to.
 fn send_request(balancer: &mut Balancer, now: Time, id: u64) -> ServerId {
     let mut request = Request::new(RequestId(id), ClassId(0), Span::from_millis(900));
     request.routing_key = Some(RoutingKey(id));
@@ -23,9 +22,10 @@
         Action::Send { server, .. } => Some(*server),
         _ => None,
     });
-    target.expect("it is sent")
+    target.expect("the request is sent")
 }
 
+/// Ends the first attempt of a request with a success.
 fn succeed(balancer: &mut Balancer, now: Time, id: u64, is_request_finished: bool) {
     let event = Event::AttemptEnded {
         request: RequestId(id),
@@ -38,23 +38,25 @@
     balancer.handle(now, event, &mut Vec::new());
 }
 
+/// Applies changed entries of the endpoint list.
 fn change_endpoints(balancer: &mut Balancer, now: Time, endpoints: Vec<Endpoint>) {
     let event = Event::Endpoints(EndpointUpdate::Changes(endpoints));
     balancer.handle(now, event, &mut Vec::new());
 }
 
-/// Server `id` takes the place of the one with the number before it.
+/// Adds server `id` and removes server `id - 1`.
 fn replace_server(balancer: &mut Balancer, now: Time, id: u32) {
     let added = endpoint(id, EndpointStatus::Serving);
     let removed = endpoint(id - 1, EndpointStatus::Removed);
     change_endpoints(balancer, now, vec![added, removed]);
 }
 
-/// A fleet whose servers are replaced for good, under ever new ids, zones and machine kinds.
+/// Replaces the only server thousands of times, each time with a new id, zone and machine kind. Records that
+/// are kept for removed servers would grow without bound.
 #[test]
 fn removed_servers_leave_no_records() {
     let settings = Settings { has_key_affinity: true, ..Settings::default() };
-    let mut balancer = Balancer::new(settings, 1).expect("usable settings");
+    let mut balancer = Balancer::new(settings, 1).expect("valid settings");
     let mut now = Time::from_millis(1000);
     change_endpoints(&mut balancer, now, vec![endpoint(0, EndpointStatus::Serving)]);
 
@@ -76,10 +78,11 @@
     assert!(sizes.iter().all(|size| *size <= 20), "{sizes:?}");
 }
 
-/// An attempt that outlives its server keeps its place; its late outcome is not another server's.
+/// Ends an attempt long after its server was removed and others were added. The record of the server must be
+/// kept until then; otherwise the outcome would be counted for a later server in the same position.
 #[test]
 fn late_outcome_is_not_counted_for_a_new_server() {
-    let mut balancer = Balancer::new(Settings::default(), 1).expect("usable settings");
+    let mut balancer = Balancer::new(Settings::default(), 1).expect("valid settings");
     let mut now = Time::from_millis(1000);
     change_endpoints(&mut balancer, now, vec![endpoint(0, EndpointStatus::Serving)]);
     assert_eq!(send_request(&mut balancer, now, 7), ServerId(0));
@@ -93,6 +96,6 @@
     succeed(&mut balancer, now, 7, false);
 
     assert!(balancer.fleet.all_states().all(|server| server.in_flight == 0));
-    let newest = &balancer.fleet[balancer.fleet.find(ServerId(29)).expect("it is listed")];
+    let newest = &balancer.fleet[balancer.fleet.find(ServerId(29)).expect("the server is listed")];
     assert_eq!((newest.latency.samples(), newest.endpoint.server), (0, ServerId(29)));
 }
