--- a/crates/balancer-core/src/endpoint.rs
+++ b/crates/balancer-core/src/endpoint.rs
@@ -1,40 +1,40 @@
-//! Servers as the endpoint list describes them.
+//! Entries and changes of the endpoint list.
 
 use crate::ids::{CellId, MachineKindId, ServerId, ZoneId};
 use crate::time::Time;
 
-/// Whether a server takes requests.
+/// Whether a server accepts requests, as the endpoint list states it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// The server accepts requests.
     Serving,
-    /// It finishes its requests and must not be sent new ones.
+    /// The server completes the requests that it has and must not be sent new ones.
     Draining,
-    /// It has left the list.
+    /// The server is no longer in the endpoint list.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// The id of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// The machine kind of the server.
     pub machine_kind: MachineKindId,
-    /// Its cell.
+    /// The cell of the server.
     pub cell: CellId,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub status: EndpointStatus,
-    /// Its size relative to the others; see [`EndpointWeights`](crate::EndpointWeights).
+    /// A weight whose meaning depends on the setting [`EndpointWeights`](crate::EndpointWeights).
     pub weight: f64,
-    /// When its process last started, if that was recently.
+    /// When the server's process last started, if that was recently.
     pub started_at: Option<Time>,
 }
 
 impl Endpoint {
-    /// A warm serving server in zone, machine kind and cell 0.
+    /// Creates the entry of a serving server that has warmed up, in zone, machine kind and cell 0.
     pub fn serving(server: ServerId) -> Self {
         Endpoint {
             server,
@@ -47,21 +47,21 @@
         }
     }
 
-    /// Whether it takes requests.
+    /// Returns whether the server accepts requests.
     pub fn is_serving(&self) -> bool {
         self.status == EndpointStatus::Serving
     }
 }
 
-/// A watch event: a change of the endpoint list, or the failure of the watch.
+/// A change of the endpoint list, or the failure to receive changes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
-    /// Only the entries that changed.
+    /// The entries that have changed.
     Changes(Vec<Endpoint>),
-    /// The complete list: a server that it leaves out has been removed.
+    /// The complete list. A server that is missing from it has been removed.
     Complete(Vec<Endpoint>),
-    /// The complete list as it was cached before a restart; it may be stale.
+    /// The complete list as it was cached before a restart. The list may be stale.
     Cached(Vec<Endpoint>),
-    /// A call failed or the watch broke; what was known is kept.
+    /// A poll failed or the watch broke. The balancer keeps the list that it has.
     Failed,
 }
--- a/crates/balancer-core/src/event.rs
+++ b/crates/balancer-core/src/event.rs
@@ -1,4 +1,4 @@
-//! Events, which a balancer receives, and actions, which it asks its caller to carry out.
+//! The inputs and outputs of a balancer: [`Event`]s, and the [`Action`]s that its caller carries out.
 
 use crate::endpoint::EndpointUpdate;
 use crate::ids::{AttemptNumber, ClassId, PeerId, RequestId, RoutingKey, ServerId, TenantId, TimerId};
@@ -8,24 +8,25 @@
 /// A new request from a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// The tenant that sent it.
+    /// The tenant that sent the request.
     pub tenant: Option<TenantId>,
-    /// The object that it concerns, if servers can serve a known one with less work.
+    /// The object that the request concerns, if a server that knows the object can serve it with less work.
     pub routing_key: Option<RoutingKey>,
-    /// The client's estimate of its work, in time of one core.
+    /// The client's estimate of the request's work, as the time that one core needs for it.
     pub cost_hint: Option<Span>,
-    /// The client says that it is a retry of its own. Decisions do not use it.
+    /// Whether the client marked the request as a retry of its own. The balancer's decisions do not depend
+    /// on this.
     pub is_client_retry: bool,
-    /// How long the client still waits for its answer.
+    /// How long the client still waits for the response.
     pub time_left: Span,
 }
 
 impl Request {
-    /// A first attempt of a client, without tenant, routing key or cost hint.
+    /// Creates a request that is not a client's retry, without tenant, routing key and cost hint.
     pub fn new(id: RequestId, class: ClassId, time_left: Span) -> Self {
         Request {
             id,
@@ -42,46 +43,47 @@
 /// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served.
+    /// The server served the request.
     Success,
-    /// The server answered with an error; the request may have run.
+    /// The server responded with an error. The request may have run.
     ServerError,
-    /// The server rejected it unprocessed.
+    /// The server rejected the request. It did not run.
     Rejected,
-    /// No answer in time; it may have run or still be running.
+    /// No response came in time. The request may have run or may still be running.
     TimedOut,
-    /// No connection could be made in time; it never ran.
+    /// No connection could be established in time. The request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke. The request may have run.
     ConnectionReset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// Never sent: the request had ended, or its attempts or time were used up.
+    /// The attempt was never sent, because the request was finished or had no attempts or time left.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the request did not run.
+    /// Returns whether this outcome proves that the request did not run.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A server's load report.
+/// A load report: values that describe the load of the server that sent them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadReport {
     values: Vec<f64>,
 }
 
 impl LoadReport {
-    /// A report of these values, in the order of
-    /// [`Settings::load_report_fields`](crate::Settings::load_report_fields). A value that is missing or not
-    /// plausible is ignored by the balancer.
+    /// Creates a report from its values, in the order of
+    /// [`Settings::load_report_fields`](crate::Settings::load_report_fields). The balancer ignores values
+    /// that are missing or implausible.
     pub fn new(values: Vec<f64>) -> Self {
         LoadReport { values }
     }
 
-    /// The values, in the order of [`Settings::load_report_fields`](crate::Settings::load_report_fields).
+    /// Returns the values, in the order of
+    /// [`Settings::load_report_fields`](crate::Settings::load_report_fields).
     pub fn values(&self) -> &[f64] {
         &self.values
     }
@@ -92,11 +94,11 @@
 pub enum Event {
     /// A request has arrived.
     Request(Request),
-    /// The answer has begun to stream; the request is bound to this attempt.
+    /// The response to a streaming request has begun. The request is bound to this attempt.
     FirstByte {
         /// The request.
         request: RequestId,
-        /// The attempt that it is bound to.
+        /// The attempt whose response has begun.
         attempt: AttemptNumber,
     },
     /// An attempt has ended.
@@ -105,40 +107,40 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the attempt was sent.
         elapsed: Span,
-        /// The server's load report, if one came.
+        /// The server's load report, if one was received.
         load_report: Option<LoadReport>,
-        /// The request has its final answer; otherwise one is still pending.
+        /// Whether the client has received its final response; if not, the balancer must still provide one.
         is_request_finished: bool,
     },
-    /// The client has disconnected and needs no answer any more.
+    /// The client has disconnected, so the request needs no final response any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer is due.
+    /// A timer that was set by [`Action::SetTimer`] is due.
     TimerDue(TimerId),
     /// A health check has ended.
     HealthChecked {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
         /// How the check ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the check was sent.
         elapsed: Span,
-        /// The server's load report, if one came.
+        /// The server's load report, if one was received.
         load_report: Option<LoadReport>,
     },
-    /// A change of the endpoint list, or a failure to learn of changes.
+    /// The endpoint list has changed, or the watch of the list has failed.
     Endpoints(EndpointUpdate),
-    /// Gossip from another balancer.
+    /// A gossip message has arrived from another balancer.
     Gossip {
-        /// The sender.
+        /// The balancer that sent the message.
         from: PeerId,
-        /// The contents.
+        /// The contents of the message.
         payload: Vec<u8>,
     },
 }
@@ -146,62 +148,63 @@
 /// An output of the balancer, to be carried out by its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an attempt; attempts of a request are numbered in the order of their sends.
+    /// Send an attempt. Attempts of a request are numbered in the order in which they are sent.
     Send {
         /// The request.
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// When the attempt times out.
+        /// The moment at which the attempt times out.
         timeout_at: Time,
-        /// Its last byte must be written by then; later the servers would no longer recognise it as a repeat.
+        /// The deadline for writing the last byte of the attempt, if there is one. After it, servers would no
+        /// longer recognise the attempt as a retry and might run the request a second time.
         write_by: Option<Time>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Final answer: rejected; a retry by the client has no second effect.
+    /// Reject the request as its final response. A retry by the client cannot duplicate the effect.
     Reject {
         /// The request.
         request: RequestId,
-        /// After how long a retry makes sense, if that is known.
+        /// The delay after which the client should retry; `None` if there is no advice for the client.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed; the request may have run.
+    /// Fail the request as its final response. The request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Wake the balancer at this time with [`Event::TimerDue`]. Timers are never cancelled.
+    /// Pass [`Event::TimerDue`] to the balancer at this time. Timers are never cancelled.
     SetTimer {
-        /// When.
+        /// The time at which the timer is due.
         at: Time,
-        /// The timer to report as due.
+        /// The timer to pass in the event.
         timer: TimerId,
     },
-    /// Send a health check.
+    /// Send a health check to a server.
     CheckHealth {
         /// The server to check.
         server: ServerId,
     },
     /// Close this balancer's idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// The server whose connections are closed.
         server: ServerId,
     },
-    /// Send a message to one other balancer, or to all.
+    /// Send a gossip message to one other balancer, or to all of them.
     Gossip {
-        /// The receiver; `None` for all.
+        /// The receiver; `None` stands for all other balancers.
         to: Option<PeerId>,
-        /// The contents.
+        /// The contents of the message.
         payload: Vec<u8>,
     },
-    /// Open a watch of the endpoint list; it replaces an open one.
+    /// Open a watch of the endpoint list. It replaces a watch that is already open.
     WatchEndpoints,
-    /// Log something for the operators.
+    /// Log a notice for the operators.
     Notify(Notice),
 }
--- a/crates/balancer-core/src/ids.rs
+++ b/crates/balancer-core/src/ids.rs
@@ -1,5 +1,7 @@
-//! Ids of what events and actions refer to. The caller chooses all of them but those of attempts and timers.
+//! Ids of requests, servers and other things that events and actions refer to. The caller assigns all ids
+//! except those of attempts and timers.
 
+/// Defines id types, which are newtypes of an integer.
 macro_rules! id_types {
     ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
         $(#[$doc])*
@@ -9,34 +11,37 @@
 }
 
 id_types! {
-    /// A request; never used twice in the life of a balancer.
+    /// The id of a request. An id is never used twice in the lifetime of a balancer.
     RequestId(u64),
-    /// A server; the same while the machine is, and the same at every balancer.
+    /// The id of a server. All balancers use the same id, which stays the same for the lifetime of the
+    /// machine.
     ServerId(u32),
-    /// A request class: its index in [`Settings::classes`](crate::Settings::classes).
+    /// The id of a request class: the index in [`Settings::classes`](crate::Settings::classes).
     ClassId(usize),
-    /// A tenant: its index in [`Settings::tenants`](crate::Settings::tenants).
+    /// The id of a tenant: the index in [`Settings::tenants`](crate::Settings::tenants).
     TenantId(usize),
-    /// A zone, as the endpoint list numbers them.
+    /// The id of a zone in the endpoint list.
     ZoneId(u32),
-    /// A kind of machine, as the endpoint list numbers them.
+    /// The id of a machine kind in the endpoint list.
     MachineKindId(u32),
-    /// A cell (servers that share a record of the requests they have run), as the endpoint list numbers them.
+    /// The id of a cell in the endpoint list. The servers of a cell share a record of the requests that they
+    /// have run.
     CellId(u32),
-    /// The object that a request concerns; requests for the same object carry the same key.
+    /// Identifies the object that a request concerns. Requests for the same object carry the same key.
     RoutingKey(u64),
-    /// An attempt of a request: 0 for its first send, 1 for its second and so on.
+    /// The number of an attempt among those of its request: 0 for the first attempt, 1 for the second.
     AttemptNumber(u32),
-    /// Another balancer of the same service.
+    /// The id of another balancer of the same service.
     PeerId(u32),
 }
 
-/// A timer of the balancer: what it asks to be woken for.
+/// Identifies a timer of the balancer, in [`Action::SetTimer`](crate::Action::SetTimer) and in
+/// [`Event::TimerDue`](crate::Event::TimerDue).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerId {
-    /// The periodic tick, which handles overdue attempts and queued requests.
+    /// The periodic tick. It handles overdue attempts and queued requests, among other things.
     Tick,
-    /// The end of the wait for polled loads.
+    /// The timeout of a load poll.
     LoadPollTimeout,
 }
 
@@ -44,7 +49,7 @@
     /// All timers, in the order of their numbers.
     const ALL: [TimerId; 2] = [TimerId::Tick, TimerId::LoadPollTimeout];
 
-    /// The number of the timer, for callers whose timers are numbered.
+    /// Returns the number of the timer, for callers that identify timers by numbers.
     pub fn number(self) -> u64 {
         match self {
             TimerId::Tick => 0,
@@ -52,7 +57,7 @@
         }
     }
 
-    /// The timer with this number; `None` if there is no such timer.
+    /// Returns the timer with this number, or `None` if there is no such timer.
     pub fn from_number(number: u64) -> Option<Self> {
         TimerId::ALL.into_iter().find(|timer| timer.number() == number)
     }
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -1,8 +1,11 @@
 //! Client-side load-balancing decisions, without I/O.
 //!
-//! Each client process owns one [`Balancer`]. It is told what happened ([`Event`]) and when ([`Time`]), and
-//! returns what to do ([`Action`]); it never reads a clock, opens a socket or starts a thread. Per request it
-//! compares the lightest server it remembers with fresh uniform draws, by its own requests in flight.
+//! Each client process owns one [`Balancer`]. The process passes every [`Event`] and its [`Time`] to the
+//! balancer and carries out the [`Action`]s that the balancer returns. The balancer never reads a clock,
+//! opens a socket or starts a thread.
+//!
+//! For each request, the balancer compares a few servers that it chose before with servers that it draws
+//! uniformly at random, by the number of its own requests in flight, and selects the least loaded one.
 //!
 //! ```
 //! use balancer_core::*;
@@ -13,15 +16,15 @@
 //!     ..RequestClass::default()
 //! };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
-//! let mut balancer = Balancer::new(settings, 7).expect("usable settings");
+//! let mut balancer = Balancer::new(settings, 7).expect("valid settings");
 //! let mut actions = Vec::new();
 //!
-//! // The caller learns which servers there are,
+//! // The caller passes on the endpoint list.
 //! let now = Time::from_millis(1000);
 //! let endpoints = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
 //! balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(endpoints)), &mut actions);
 //!
-//! // and passes on a request: the balancer says where to send it.
+//! // For each request, the balancer decides which server it is sent to.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_millis(400));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: RequestId(1), .. })));
--- a/crates/balancer-core/src/notice.rs
+++ b/crates/balancer-core/src/notice.rs
@@ -1,22 +1,23 @@
-//! What a balancer reports to the operators, as typed notices. The caller words them.
+//! Notices: what a balancer reports to the operators. The caller turns them into text.
 
 use crate::ids::ServerId;
 use crate::units::LatencyRatio;
 use std::fmt;
 
-/// Something that the operators should know of.
+/// A notice for the operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[non_exhaustive]
 pub enum Notice {
-    /// A server was ejected: it gets no requests but single probes until one of them is answered well.
+    /// A server was ejected. It is sent no requests except single probes, until one of them is served with an
+    /// acceptable latency.
     ServerEjected {
-        /// The server.
+        /// The ejected server.
         server: ServerId,
-        /// Why.
+        /// Why the server was ejected.
         reason: EjectionReason,
-        /// Its smoothed latency.
+        /// The smoothed latency of the server, as a latency ratio.
         latency_ratio: LatencyRatio,
-        /// The median of the smoothed latencies of the serving servers.
+        /// The median of the smoothed latency ratios of the serving servers.
         fleet_median: LatencyRatio,
     },
 }
@@ -24,13 +25,13 @@
 /// Why a server is ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// Its latency is a multiple of the fleet's median.
+    /// The latency of the server is a multiple of the fleet's median latency.
     Slow,
-    /// Its attempts fail.
+    /// Attempts to the server fail.
     Failing,
-    /// It has not responded in any way since an overdue attempt was sent.
+    /// The server has not responded in any way since an overdue attempt was sent.
     Silent,
-    /// It failed a health check.
+    /// The server failed a health check.
     FailedHealthCheck,
 }
 
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a balancer, fixed at its start.
+//! The settings of a balancer. They do not change while the balancer runs.
 
 mod goal;
 mod request_class;
@@ -16,61 +16,64 @@
 /// All settings of a balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Number of balancers of this service, this one included.
+    /// The number of balancers of this service, including this one.
     pub balancer_count: u32,
     /// The zone that this balancer is in.
     pub local_zone: ZoneId,
-    /// The request classes.
+    /// The request classes, by [`ClassId`].
     pub classes: Vec<RequestClass>,
-    /// The tenants; may be empty.
+    /// The tenants, by [`TenantId`](crate::TenantId). There may be none.
     pub tenants: Vec<Tenant>,
-    /// The part of its value that a request over its tenant's share keeps.
+    /// The fraction of its value that a request keeps if its tenant exceeds the tenant's share.
     pub over_share_value: f64,
-    /// What values are counted by.
+    /// Whether the value of requests is counted per request or by work.
     pub value_basis: ValueBasis,
-    /// How results are weighed.
+    /// The weights of the components of the service's score.
     pub goal: GoalWeights,
-    /// What things cost.
+    /// What attempts, health checks and connections cost.
     pub costs: Costs,
-    /// How changes of the endpoint list arrive.
+    /// How the balancer is notified of changes to the endpoint list.
     pub discovery_mode: DiscoveryMode,
-    /// Without a watch the endpoint list must be asked for at least this often.
+    /// The longest interval between two polls of the endpoint list while no watch is open.
     pub max_poll_interval: Span,
-    /// Where load reports come from.
+    /// Which responses carry load reports.
     pub load_report_source: LoadReportSource,
-    /// What a load report holds, in order.
+    /// The fields of a load report, in the order of its values.
     pub load_report_fields: Vec<LoadReportField>,
-    /// What the weights of endpoints mean.
+    /// The meaning of the weights in the endpoint list.
     pub endpoint_weights: EndpointWeights,
-    /// A server that has recently served a routing key serves it with less work.
+    /// Whether a server that has recently served a routing key serves it again with less work.
     pub has_key_affinity: bool,
-    /// Most attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub allows_hedging: bool,
-    /// [`Action::Cancel`](crate::Action::Cancel) is allowed.
+    /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub allows_cancel: bool,
-    /// [`Action::CheckHealth`](crate::Action::CheckHealth) is allowed.
+    /// Whether [`Action::CheckHealth`](crate::Action::CheckHealth) is allowed.
     pub allows_health_checks: bool,
-    /// [`Action::Gossip`](crate::Action::Gossip) is allowed.
+    /// Whether [`Action::Gossip`](crate::Action::Gossip) is allowed.
     pub allows_gossip: bool,
-    /// Clients are passed the `retry_after` of [`Action::Reject`](crate::Action::Reject).
+    /// Whether the `retry_after` of [`Action::Reject`](crate::Action::Reject) is sent to clients.
     pub sends_retry_after: bool,
-    /// The longest `retry_after` that clients follow.
+    /// The longest `retry_after` that clients observe.
     pub max_retry_after: Span,
-    /// Nothing new may be sent to a draining or removed server this long after the balancer was notified.
+    /// How long after it was notified that a server is draining or removed the balancer may still send
+    /// attempts to the server.
     pub drain_grace: Span,
-    /// The lowest share of its capacity that a server starts with.
+    /// The lowest fraction of its full capacity with which a server starts.
     pub initial_capacity: f64,
-    /// The longest time that a server takes from its start to its full capacity.
+    /// The longest time that a server needs to reach its full capacity after its start.
     pub warm_up_time: Span,
-    /// A server that is warming up fails when sent more than this multiple of its present capacity ...
+    /// The load, as a multiple of its current capacity, above which a server that is warming up fails if the
+    /// load lasts for `overload_window`.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// How long a load above `overload_factor` must last to make a server that is warming up fail.
     pub overload_window: Span,
-    /// How long opening a connection may take, and so how much later than decided an attempt may be written.
+    /// How long opening a connection may take. An attempt may be written to its connection this much later
+    /// than the balancer decided to send it.
     pub connect_timeout: Span,
-    /// The shortest interval between two events; times are only as exact as this.
+    /// The shortest interval between two events, which is also the resolution of their times.
     pub event_interval: Span,
 }
 
@@ -110,16 +113,16 @@
 }
 
 impl Settings {
-    /// Whether there is such a request class.
+    /// Returns whether the settings contain this request class.
     pub fn has_class(&self, class: ClassId) -> bool {
         class.0 < self.classes.len()
     }
 
-    /// The settings of a request class.
+    /// Returns the settings of a request class.
     ///
     /// # Panics
     ///
-    /// If there is no such class.
+    /// Panics if the settings do not contain the class.
     pub fn class(&self, class: ClassId) -> &RequestClass {
         &self.classes[class.0]
     }
--- a/crates/balancer-core/src/settings/goal.rs
+++ b/crates/balancer-core/src/settings/goal.rs
@@ -1,34 +1,35 @@
-//! What the service values and what things cost it.
+//! How the service weighs its results, and what its operations cost.
 
-/// A tenant with a share of the service.
+/// A tenant and its share of the capacity.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tenant {
-    /// Its share of the service, as a fraction.
+    /// The tenant's share of the service's capacity, from 0 to 1.
     pub share: f64,
-    /// Requests a second, over all balancers, that lie within its share. Not used by decisions.
+    /// The number of requests per second, over all balancers, that are within the tenant's share. The
+    /// balancer's decisions do not depend on this.
     pub quota_per_s: f64,
 }
 
-/// What the value of a request is counted by.
+/// The quantity by which the value of requests is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum ValueBasis {
-    /// Each request counts once.
+    /// Each request counts the same.
     #[default]
     Requests,
-    /// Each request counts by its work.
+    /// Each request counts in proportion to its work.
     Work,
 }
 
-/// How the service weighs its results; the parts need not add up to one.
+/// The weights of the components of the service's score. They need not add up to one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GoalWeights {
-    /// All requests together.
+    /// The weight of the result over all requests.
     pub overall: f64,
-    /// The worst stretch of time.
+    /// The weight of the result in the time window with the worst result.
     pub worst_window: f64,
-    /// The class that is served worst.
+    /// The weight of the result of the class with the worst result.
     pub worst_class: f64,
-    /// The tenant that is served worst within its share.
+    /// The weight of the result of the tenant with the worst result for requests within its share.
     pub worst_tenant: f64,
 }
 
@@ -38,19 +39,20 @@
     }
 }
 
-/// What things cost: the share of the result that is lost to one of each per request.
+/// The costs of operations: the fraction of the score that is lost if each request causes one of them.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Costs {
-    /// An attempt that leaves the balancer's zone.
+    /// The cost of an attempt that leaves the balancer's zone.
     pub cross_zone: f64,
-    /// A health check.
+    /// The cost of a health check.
     pub health_check: f64,
-    /// A new connection.
+    /// The cost of opening a connection.
     pub handshake: f64,
-    /// An open connection, per hundred servers. Not used by decisions.
+    /// The cost of an open connection, per hundred servers. The balancer's decisions do not depend on this.
     pub connection: f64,
-    /// Work of a server that served no answer.
+    /// The cost of work that a server did without serving a response.
     pub wasted_work: f64,
-    /// A request that ends unserved after its objective. Not used by decisions.
+    /// The cost of a request that ends unserved after its latency objective. The balancer's decisions do not
+    /// depend on this.
     pub late_failure: f64,
 }
--- a/crates/balancer-core/src/settings/request_class.rs
+++ b/crates/balancer-core/src/settings/request_class.rs
@@ -1,52 +1,56 @@
-//! Classes of requests and what repeating them does.
+//! Request classes, and the effect of processing a request twice.
 
 use crate::time::Span;
 
-/// What repeating a request would do.
+/// The effect of processing a request twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Effect {
-    /// Nothing: it is safe to repeat.
+    /// Processing the request twice has the same effect as processing it once.
     #[default]
     Idempotent,
-    /// The request carries an idempotency key, by which servers drop a repeat.
+    /// The request carries an idempotency key. Servers recognise a retry by the key and do not process it
+    /// again.
     Deduplicated {
-        /// Which servers share their record of keys.
+        /// The servers that share a record of idempotency keys.
         scope: DedupScope,
-        /// For how long they drop repeats, from the send of the first attempt that may have run.
+        /// How long servers recognise retries, counted from the moment at which the first attempt that may
+        /// have run was sent.
         window: Span,
     },
-    /// A second effect: it must not run twice.
+    /// Processing the request twice would duplicate its effect, so it must not run twice.
     AtMostOnce,
 }
 
 /// The servers that share a record of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DedupScope {
-    /// All servers.
+    /// All servers share one record.
     Fleet,
-    /// The servers of one zone.
+    /// The servers of each zone share a record.
     Zone,
-    /// The servers of one cell.
+    /// The servers of each cell share a record.
     Cell,
 }
 
-/// A class of requests.
+/// The settings of a request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestClass {
-    /// What a repeat would do.
+    /// The effect of processing a request of this class twice.
     pub effect: Effect,
-    /// The latency objective: an answer within it has its full value.
+    /// The latency objective. A response within it has its full value.
     pub latency_objective: Span,
-    /// The objective grows by this multiple of the request's own work, up to the deadline. Not used by
-    /// decisions.
+    /// The multiple of the request's work by which the latency objective grows, up to the deadline. The
+    /// balancer's decisions do not depend on this.
     pub objective_stretch: f64,
-    /// How long a client waits in all, over all its retries.
+    /// How long a client waits in total for a response, including all of its own retries.
     pub deadline: Span,
-    /// The value of a request that is answered within its objective.
+    /// The value of a response within the latency objective.
     pub priority_weight: f64,
-    /// The share of that value which an answer between objective and deadline keeps.
+    /// The fraction of its value that a response keeps if it comes after the latency objective and before
+    /// the deadline.
     pub late_value: f64,
-    /// The answer is a stream, announced by [`Event::FirstByte`](crate::Event::FirstByte).
+    /// Whether the response is a stream. Its start is announced by
+    /// [`Event::FirstByte`](crate::Event::FirstByte).
     pub is_streaming: bool,
 }
 
--- a/crates/balancer-core/src/settings/sources.rs
+++ b/crates/balancer-core/src/settings/sources.rs
@@ -1,56 +1,56 @@
-//! Where the balancer's knowledge of the servers comes from.
+//! Settings for the sources of information on servers: load reports and the endpoint list.
 
-/// A value of a server's load report, in the order that
-/// [`Settings::load_report_fields`](crate::Settings::load_report_fields) gives.
+/// The meaning of a value in a load report; see
+/// [`Settings::load_report_fields`](crate::Settings::load_report_fields).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LoadReportField {
-    /// Requests that the server holds.
+    /// The number of requests that the server holds.
     InFlight,
-    /// Requests that wait in the server.
+    /// The number of requests that wait in the server's queue.
     QueueLength,
-    /// The busy share of its cores.
+    /// The fraction of the server's cores that is busy.
     Utilisation,
-    /// Its recent service time in milliseconds, without waiting.
+    /// The recent service time of the server in milliseconds, without queueing time.
     ServiceTime,
-    /// Requests it answers a second.
+    /// The number of requests to which the server responds per second.
     RequestRate,
-    /// Errors a second.
+    /// The number of errors per second.
     ErrorRate,
-    /// A value that balancers have no use for.
+    /// A value that the balancer does not use.
     Unknown,
 }
 
-/// How the balancer learns of changes to the endpoint list.
+/// How the balancer is notified of changes to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum DiscoveryMode {
-    /// Changes come by themselves.
+    /// Changes arrive without a request by the balancer.
     #[default]
     Pushed,
-    /// Changes come only while a watch is open; see
+    /// Changes arrive only while a watch is open; see
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
     OnRequest,
 }
 
-/// Where load reports come from.
+/// Which responses carry load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum LoadReportSource {
-    /// There are none.
+    /// No responses; servers send no load reports.
     #[default]
     None,
-    /// With the answers to attempts and health checks.
+    /// Responses to attempts and to health checks.
     Responses,
-    /// With the answers to health checks only.
+    /// Responses to health checks only.
     HealthChecks,
 }
 
 /// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum EndpointWeights {
-    /// Weights say nothing.
+    /// The weights have no meaning.
     #[default]
     Unspecified,
-    /// The size of the machine, exactly or roughly.
+    /// The weight is the exact or approximate size of the machine.
     Size,
-    /// The size divided by the load of a while ago.
+    /// The weight is the size of the machine divided by a past value of its load.
     SizeOverLoad,
 }
--- a/crates/balancer-core/src/settings/validation.rs
+++ b/crates/balancer-core/src/settings/validation.rs
@@ -1,14 +1,14 @@
-//! Which settings a balancer can work with.
+//! Validation of the settings.
 
 use super::Settings;
 use crate::time::Span;
 
 impl Settings {
-    /// Rejects settings that no balancer can work with.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
     ///
-    /// The first setting that is missing or out of range.
+    /// Returns an error for the first setting that is missing or out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -35,28 +35,29 @@
     }
 }
 
-/// Settings that no balancer can work with. Messages name the settings as the operators' pages do.
+/// The reason why settings are invalid. The messages use the names that the operators' documentation gives to
+/// the settings.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There must be at least one class.
+    /// The settings contain no request class.
     #[error("settings name no request class; at least one is needed")]
     NoClasses,
-    /// A number that must be finite and not negative is not.
+    /// A number is negative, infinite or NaN.
     #[error("setting {setting} is {value}; a finite number of zero or more is needed")]
     BadNumber {
-        /// Which setting.
+        /// The name of the setting.
         setting: &'static str,
-        /// What it was.
+        /// The invalid value.
         value: f64,
     },
-    /// A length of time that must be above zero is zero.
+    /// A duration is zero.
     #[error("setting {setting} is zero; it must be longer")]
     ZeroSpan {
-        /// Which setting.
+        /// The name of the setting.
         setting: &'static str,
     },
-    /// A request needs at least one attempt.
+    /// The settings allow no attempt for a request.
     #[error("settings allow no attempt for a request; at least one is needed")]
     NoAttempts,
 }
--- a/crates/balancer-core/src/time.rs
+++ b/crates/balancer-core/src/time.rs
@@ -1,88 +1,90 @@
-//! Moments and lengths of time, in whole microseconds.
+//! Moments and durations, in whole microseconds.
 
 use std::ops::{Add, Mul, Sub};
 
 const MICROS_PER_MILLI: u64 = 1_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A moment on the caller's clock, in microseconds since any epoch.
+/// A moment on the caller's clock, in microseconds since an epoch of the caller's choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(u64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Span(u64);
 
 impl Time {
-    /// The epoch itself.
+    /// The epoch.
     pub const EPOCH: Time = Time(0);
 
-    /// The moment `micros` microseconds after the epoch.
+    /// Returns the moment `micros` microseconds after the epoch.
     pub const fn from_micros(micros: u64) -> Self {
         Time(micros)
     }
 
-    /// The moment `millis` milliseconds after the epoch.
+    /// Returns the moment `millis` milliseconds after the epoch.
     pub const fn from_millis(millis: u64) -> Self {
         Time(Span::from_millis(millis).0)
     }
 
-    /// The moment `millis` milliseconds after the epoch; a negative value or NaN gives the epoch itself.
+    /// Returns the moment `millis` milliseconds after the epoch, rounded to whole microseconds. A negative
+    /// value or NaN gives the epoch.
     pub fn from_millis_f64(millis: f64) -> Self {
         Time(Span::from_millis_f64(millis).0)
     }
 
-    /// Microseconds since the epoch.
+    /// Returns the number of microseconds since the epoch.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Milliseconds since the epoch.
+    /// Returns the number of milliseconds since the epoch.
     pub fn as_millis_f64(self) -> f64 {
         Span(self.0).as_millis_f64()
     }
 
-    /// The time that has passed since `earlier`; zero if `earlier` is later than `self`.
+    /// Returns the duration from `earlier` to `self`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Span = Span(0);
 
-    /// `micros` microseconds.
+    /// Creates a duration of `micros` microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Span(micros)
     }
 
-    /// `millis` milliseconds.
+    /// Creates a duration of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Span(millis * MICROS_PER_MILLI)
     }
 
-    /// `seconds` seconds.
+    /// Creates a duration of `seconds` seconds.
     pub const fn from_secs(seconds: u64) -> Self {
         Span(seconds * MICROS_PER_SECOND)
     }
 
-    /// `millis` milliseconds, rounded to whole microseconds; a negative value or NaN gives zero.
+    /// Creates a duration of `millis` milliseconds, rounded to whole microseconds. A negative value or NaN
+    /// gives zero.
     pub fn from_millis_f64(millis: f64) -> Self {
         Span((millis * MICROS_PER_MILLI as f64).round() as u64)
     }
 
-    /// The length in microseconds.
+    /// Returns the duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The length in milliseconds.
+    /// Returns the duration in milliseconds.
     pub fn as_millis_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_MILLI as f64
     }
 
-    /// This length minus `other`, never below zero.
+    /// Returns this duration minus `other`, or zero if `other` is longer.
     #[must_use]
     pub fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
