--- a/crates/balancer-settings/src/decision_settings.rs
+++ b/crates/balancer-settings/src/decision_settings.rs
@@ -1,4 +1,4 @@
-//! Converts the JSON form into the settings of a balancer.
+//! Converts the JSON form of the settings into [`Settings`].
 
 use crate::wire::{
     WireClass, WireDedupScope, WireDiscovery, WireEffect, WireFeedbackSource, WireGoal, WirePenalties,
@@ -10,7 +10,7 @@
 };
 
 impl From<&WireSettings> for Settings {
-    /// Absent keys keep the values of [`Settings::default`].
+    /// Converts the settings object. Absent keys have the values of [`Settings::default`].
     fn from(wire: &WireSettings) -> Settings {
         let default = Settings::default();
         let limits = &wire.limits;
@@ -155,7 +155,7 @@
     match scope {
         Some(WireDedupScope::All) => DedupScope::Fleet,
         Some(WireDedupScope::Zone) => DedupScope::Zone,
-        // Without a scope, the narrowest one is assumed, which is the safe choice.
+        // A missing scope means the narrowest one: a retry on any other server could duplicate the effect.
         Some(WireDedupScope::Cell) | None => DedupScope::Cell,
     }
 }
--- a/crates/balancer-settings/src/host_settings.rs
+++ b/crates/balancer-settings/src/host_settings.rs
@@ -1,15 +1,15 @@
-//! Converts the JSON form into the settings of a balancer's host.
+//! Converts the JSON form of the settings into [`HostSettings`].
 
 use crate::wire::WireSettings;
 use balancer_core::Span;
 
-/// The connect timeout of settings that give none.
+/// The connect timeout if the settings do not contain one.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// The keepalive time of settings that give none.
+/// The keepalive time if the settings do not contain one.
 const DEFAULT_KEEPALIVE_MS: f64 = 15_000.0;
 
-/// The settings that a balancer's host needs in addition to [`Settings`](balancer_core::Settings): names, and
-/// time limits of connections.
+/// The settings that the host of a balancer needs in addition to [`Settings`](balancer_core::Settings): names
+/// and connection timeouts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostSettings {
     /// The names of the request classes, by [`ClassId`](balancer_core::ClassId).
@@ -18,14 +18,14 @@
     pub tenant_names: Vec<String>,
     /// The names of the zones, by [`ZoneId`](balancer_core::ZoneId).
     pub zone_names: Vec<String>,
-    /// The names of the kinds of machine, by [`MachineKindId`](balancer_core::MachineKindId).
+    /// The names of the machine kinds, by [`MachineKindId`](balancer_core::MachineKindId).
     pub machine_kind_names: Vec<String>,
-    /// The names of the values of a load report, in the order of
+    /// The names of the fields of a load report, in the order of
     /// [`Settings::load_report_fields`](balancer_core::Settings::load_report_fields).
     pub load_report_fields: Vec<String>,
-    /// A connection that is not established within this time has failed.
+    /// How long opening a connection may take before it has failed.
     pub connect_timeout: Span,
-    /// A server closes a connection that has been idle for this long.
+    /// How long a connection may be idle before the server closes it.
     pub keepalive: Span,
 }
 
--- a/crates/balancer-settings/src/lib.rs
+++ b/crates/balancer-settings/src/lib.rs
@@ -1,5 +1,8 @@
-//! What the hosts of a balancer share: the settings object, which arrives in the simulator's first message or
-//! in the agent's configuration file, and the numbers of servers. Only this crate knows the JSON keys.
+//! Code that all hosts of a balancer share: the JSON form of the settings, and the mapping of server names to
+//! ids.
+//!
+//! The settings object arrives in the simulator's first message or in the agent's configuration file. Only
+//! this crate knows its JSON keys.
 
 mod decision_settings;
 mod host_settings;
--- a/crates/balancer-settings/src/name_hash.rs
+++ b/crates/balancer-settings/src/name_hash.rs
@@ -1,12 +1,12 @@
-//! The hash that turns names into numbers.
+//! The hash function for names.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// The 64-bit FNV-1a hash of a name. It is the same in every process and every version of the program, so
-/// that balancers agree on the number of a name without communicating.
-pub fn hash_name(text: &str) -> u64 {
+/// Returns the 64-bit FNV-1a hash of a name. The hash is the same in every process and every version of the
+/// program, so that balancers derive the same ids from the same names without communicating.
+pub fn hash_name(name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
-    hasher.write(text.as_bytes());
+    hasher.write(name.as_bytes());
     hasher.finish()
 }
--- a/crates/balancer-settings/src/wire.rs
+++ b/crates/balancer-settings/src/wire.rs
@@ -1,8 +1,12 @@
 //! The JSON form of the settings. Absent keys have defaults, and unknown keys are ignored.
+//!
+//! A field without a comment has the same meaning as the field of that name in [`balancer_core::Settings`],
+//! in one of the types that it contains, or in [`HostSettings`](crate::HostSettings). Fields whose names end
+//! in `_ms` are in milliseconds.
 
 use serde::Deserialize;
 
-/// The settings object in JSON. It converts into [`balancer_core::Settings`] and
+/// The settings object as it is read from JSON. It can be converted into [`balancer_core::Settings`] and into
 /// [`HostSettings`](crate::HostSettings).
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
@@ -10,23 +14,31 @@
     #[serde(rename = "balancers")]
     pub(crate) balancer_count: Option<u32>,
     pub(crate) classes: Vec<WireClass>,
+    /// Converted into [`Settings::discovery_mode`](balancer_core::Settings::discovery_mode).
     pub(crate) discovery: Option<WireDiscovery>,
+    /// Properties of the service that decisions depend on.
     #[serde(rename = "familyInfo")]
     pub(crate) service_traits: WireServiceTraits,
+    /// The source and fields of load reports.
     pub(crate) feedback: WireFeedback,
     pub(crate) goal: WireGoal,
+    /// Limits, and the features that operators permit.
     pub(crate) limits: WireLimits,
     #[serde(rename = "overShareWorth")]
     pub(crate) over_share_value: Option<f64>,
     #[serde(rename = "parties")]
     pub(crate) tenants: Vec<WireTenant>,
+    /// Converted into [`Settings::costs`](balancer_core::Settings::costs).
     pub(crate) penalties: WirePenalties,
     #[serde(rename = "periodMs")]
     pub(crate) event_interval_ms: Option<f64>,
+    /// Parameters of the rules that a balancer must obey.
     pub(crate) rules: WireRules,
+    /// Converted into [`Settings::endpoint_weights`](balancer_core::Settings::endpoint_weights).
     pub(crate) weights: Option<WireWeights>,
     #[serde(rename = "worthBy")]
     pub(crate) value_basis: Option<WireValueBasis>,
+    /// Converted into [`Settings::local_zone`](balancer_core::Settings::local_zone).
     pub(crate) zone: u32,
     #[serde(rename = "zones")]
     pub(crate) zone_names: Vec<String>,
@@ -34,7 +46,7 @@
     pub(crate) machine_kind_names: Vec<String>,
 }
 
-/// A request class.
+/// The settings of a request class.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WireClass {
@@ -44,13 +56,16 @@
     pub(crate) latency_objective_ms: f64,
     pub(crate) deadline_ms: f64,
     pub(crate) effect: WireEffect,
+    /// The name of the class.
     pub(crate) name: String,
+    /// The scope of a deduplicated class; see [`DedupScope`](balancer_core::DedupScope).
     #[serde(rename = "group")]
     pub(crate) dedup_scope: Option<WireDedupScope>,
     #[serde(rename = "lateWorth")]
     pub(crate) late_value: f64,
     #[serde(rename = "stream")]
     pub(crate) is_streaming: bool,
+    /// The window of a deduplicated class, in which servers recognise retries.
     pub(crate) dedup_window_ms: f64,
     #[serde(rename = "points")]
     pub(crate) priority_weight: f64,
@@ -66,16 +81,19 @@
     AtMostOnce,
 }
 
-/// The servers that recognise and drop repeats of a request.
+/// The servers that share a record of idempotency keys.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WireDedupScope {
+    /// All servers share one record.
     All,
+    /// The servers of each zone share a record.
     Zone,
+    /// The servers of each cell share a record.
     Cell,
 }
 
-/// How changes of the endpoint list arrive.
+/// How the balancer is notified of changes to the endpoint list.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireDiscovery {
@@ -83,17 +101,21 @@
     OnRequest,
 }
 
-/// The meaning of an endpoint's weight.
+/// The meaning of the weights in the endpoint list.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireWeights {
+    /// The weights have no meaning.
     Silent,
+    /// The weight is the exact size of the machine.
     Nominal,
+    /// The weight is the approximate size of the machine.
     Rough,
+    /// The weight is the size of the machine divided by a past value of its load.
     Live,
 }
 
-/// The unit in which the value of answers is counted.
+/// The quantity by which the value of requests is counted.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WireValueBasis {
@@ -101,7 +123,7 @@
     Work,
 }
 
-/// Properties of the kind of service.
+/// Properties of the service.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireServiceTraits {
@@ -109,25 +131,30 @@
     pub(crate) has_key_affinity: bool,
 }
 
-/// Load reports.
+/// The source and fields of load reports.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireFeedback {
+    /// The names of the fields of a load report, in the order of its values.
     pub(crate) fields: Vec<String>,
+    /// Which responses carry load reports.
     pub(crate) source: WireFeedbackSource,
 }
 
-/// The responses that carry load reports.
+/// Which responses carry load reports.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireFeedbackSource {
+    /// Responses to attempts and to health checks.
     Piggyback,
+    /// Responses to health checks only.
     Pull,
+    /// No responses; servers send no load reports.
     #[default]
     Silent,
 }
 
-/// Weights of the parts of the score.
+/// The weights of the components of the service's score.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WireGoal {
@@ -138,7 +165,7 @@
     pub(crate) worst_window: f64,
 }
 
-/// Limits, and features that the site permits.
+/// Limits, and the features that operators permit.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WireLimits {
@@ -158,7 +185,7 @@
     pub(crate) allows_hedging: bool,
 }
 
-/// A tenant.
+/// A tenant and its share of the capacity.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireTenant {
@@ -166,10 +193,11 @@
     pub(crate) quota_per_s: f64,
     #[serde(rename = "fraction")]
     pub(crate) share: f64,
+    /// The name of the tenant.
     pub(crate) name: String,
 }
 
-/// Points that each kind of cost subtracts from the score.
+/// What each kind of operation costs, as a deduction from the score.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WirePenalties {
@@ -184,7 +212,7 @@
     pub(crate) wasted_work: f64,
 }
 
-/// Parameters of the rules that a balancer must keep.
+/// Parameters of the rules that a balancer must obey.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireRules {
--- a/crates/balancer-settings/tests/names.rs
+++ b/crates/balancer-settings/tests/names.rs
@@ -1,10 +1,10 @@
-//! The hash of a name, and the numbers of servers.
+//! Tests of the hash of names and of the mapping between the names and ids of servers.
 
 use balancer_core::ServerId;
 use balancer_settings::{hash_name, ServerNames};
 use std::rc::Rc;
 
-/// Two names with the same low half of their hashes.
+/// Two names whose hashes have the same low 32 bits.
 const COLLIDING: [&str; 2] = ["backend_vmmtzp", "backend_jfgnev"];
 
 fn name(text: &str) -> Rc<str> {
@@ -13,7 +13,7 @@
 
 #[test]
 fn hash_is_fnv1a_of_the_utf8_bytes() {
-    // The first three are the published test vectors of 64-bit FNV-1a.
+    // The first three hashes are the published test vectors of 64-bit FNV-1a.
     for (text, expected) in [
         ("", 0xcbf2_9ce4_8422_2325),
         ("a", 0xaf63_dc4c_8601_ec8c),
@@ -45,7 +45,7 @@
 
     let server = servers.intern(&name("backend_a"));
 
-    assert_eq!(servers.intern(&name("backend_a")), server, "an interned name keeps its number");
+    assert_eq!(servers.intern(&name("backend_a")), server, "interning a name again returns the same id");
     assert_eq!(servers.find("backend_a"), Some(server));
     assert_eq!(servers.name(server).map(|found| &**found), Some("backend_a"));
     assert_eq!(servers.find("backend_b"), None);
--- a/crates/balancer-settings/tests/wire_settings.rs
+++ b/crates/balancer-settings/tests/wire_settings.rs
@@ -1,4 +1,4 @@
-//! The JSON form of the settings, and its conversions.
+//! Tests of the JSON form of the settings and its conversions.
 
 use balancer_core::{
     Costs, DedupScope, DiscoveryMode, Effect, EndpointWeights, GoalWeights, LoadReportField,
@@ -6,7 +6,7 @@
 };
 use balancer_settings::{HostSettings, WireSettings};
 
-/// Every known key, with a value that differs from its default.
+/// A settings object that contains every known key with a value that differs from the default.
 const COMPLETE: &str = r#"{
  "balancers": 3,
  "classes": [{"aimStretch": 0.5, "aimMs": 150.0, "deadlineMs": 300.0, "dedupWindowMs": 900.0,
