--- a/crates/balancer-core/src/policy/admission/tests.rs
+++ b/crates/balancer-core/src/policy/admission/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_round_trip_of_slow_answers_cuts_six_tenths() {
+fn a_round_trip_of_slow_attempts_cuts_six_tenths() {
     let mut admission = AdmissionControl::new(10);
 
     admission.record(SLOW, 0);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_round_trip_of_good_answers_gains_a_fifth_of_the_root() {
+fn a_round_trip_of_good_attempts_gains_a_fifth_of_the_root() {
     let mut admission = AdmissionControl::new(10);
     admission.record(SLOW, 0);
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_answer_counts_for_its_part_of_the_round_trip() {
+fn an_attempt_counts_for_its_fraction_of_the_round_trip() {
     let mut dense = AdmissionControl::new(10);
     dense.record(SLOW, 9);
     assert_close(dense.probability().value(), 1.0 - 0.6 / 10.0);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_empty_list_says_nothing_about_the_next_one() {
+fn capacity_of_an_empty_list_is_ignored() {
     let mut admission = sparse_control();
     admission.follow_capacity(10.0);
 
@@ -94,7 +94,7 @@
     assert_close(admission.probability_for(ShedOrder::Last, 1.0), 0.5);
 }
 
-/// How many of a thousand requests of the only class are admitted at a probability of a half.
+/// Counts how many of a thousand requests of the only class are admitted at a probability of 0.5.
 fn admitted_of_a_thousand(view: FleetView) -> usize {
     let settings = Settings { classes: vec![RequestClass::default()], ..Settings::default() };
     let mut shedder = LoadShedder::new(1, 0);
--- a/crates/balancer-core/src/policy/shedding.rs
+++ b/crates/balancer-core/src/policy/shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: which classes and tenants are rejected first when not everything can be served.
+//! Load shedding: the order in which requests are rejected, by class and tenant, when the fleet cannot serve
+//! all of them.
 
 mod class_order;
 mod shedder;
--- a/crates/balancer-core/src/policy/shedding/class_order/tests.rs
+++ b/crates/balancer-core/src/policy/shedding/class_order/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of which classes are shed first.
+//! Tests of the order in which classes are shed.
 
 use super::*;
 use crate::{GoalWeights, Request, RequestClass, RequestId, Span, Time};
 
-/// The order of two classes of equal traffic and work whose requests have these values.
+/// Ranks two classes of equal traffic and work whose requests have these values.
 fn order_of(values: [f64; 2], goal: GoalWeights, value_basis: ValueBasis) -> Vec<ShedOrder> {
     let class = |&priority_weight| RequestClass { priority_weight, ..RequestClass::default() };
     let classes = values.iter().map(class).collect();
@@ -23,7 +23,8 @@
     }
 }
 
-/// The part of the goal that depends on the worst class is lost with the first class already.
+/// Shedding one class already costs the whole term of the goal that depends on the worst class. Shedding both
+/// classes then has the lowest cost per work freed.
 #[test]
 fn classes_are_shed_together_where_the_worst_class_decides() {
     let goal = GoalWeights { overall: 0.0, worst_class: 1.0, ..GoalWeights::default() };
--- a/crates/balancer-core/src/policy/shedding/shedder.rs
+++ b/crates/balancer-core/src/policy/shedding/shedder.rs
@@ -1,4 +1,4 @@
-//! Which requests are shed first, by class and by their tenant's share.
+//! Decides which requests are shed first, by their class and by their tenant's share.
 
 use super::class_order::{rank_classes, ShedOrder};
 use super::traffic::Traffic;
@@ -6,18 +6,19 @@
 use crate::policy::requests::ActiveRequest;
 use crate::{ClassId, Request, Settings, Time};
 
-/// A tenant is over its share at this multiple of it; usage fluctuates without any abuse.
-const SHARE_SLACK: f64 = 1.4;
+/// Multiple of its share that a tenant may use. A lower multiple would shed requests of tenants whose usage
+/// only fluctuates.
+const SHARE_SLACK_FACTOR: f64 = 1.4;
 
 /// The recent traffic, and the order in which classes are shed.
 pub struct LoadShedder {
     traffic: Traffic,
-    /// By class.
+    /// The shed order of each class, by class id.
     class_order: Vec<ShedOrder>,
 }
 
 impl LoadShedder {
-    /// No traffic yet; all classes are shed alike.
+    /// Creates a load shedder without traffic, which sheds all classes alike.
     pub fn new(class_count: usize, tenant_count: usize) -> Self {
         LoadShedder {
             traffic: Traffic::new(class_count, tenant_count),
@@ -30,25 +31,29 @@
         self.traffic.count(now, request);
     }
 
-    /// Whether a request is beyond its tenant's share. A tenant that takes more than its share of this
-    /// balancer's traffic has the excess shed first, as a random part of its requests. No balancer sees all
-    /// traffic; its own is the sample that it has.
+    /// Decides whether a request exceeds its tenant's share.
+    ///
+    /// If a tenant's fraction of this balancer's traffic exceeds its share and the slack, a random fraction
+    /// of its requests, as large as the excess, is shed first. The balancer uses its own traffic as a sample,
+    /// because no balancer sees all traffic.
     pub fn is_over_share(&self, settings: &Settings, request: &Request, rng: &mut fastrand::Rng) -> bool {
         let Some(tenant) = request.tenant else { return false };
         let Some(tenant_settings) = settings.tenants.get(tenant.0) else { return false };
         if settings.over_share_value >= 1.0 {
             return false;
         }
-        let fair_traffic = SHARE_SLACK * tenant_settings.share * self.traffic.of_all_tenants();
-        rng.f64() * self.traffic.of_tenant(tenant) > fair_traffic.max(1.0)
+        let allowed_requests =
+            SHARE_SLACK_FACTOR * tenant_settings.share * self.traffic.requests_of_all_tenants();
+        rng.f64() * self.traffic.requests_of_tenant(tenant) > allowed_requests.max(1.0)
     }
 
-    /// Whether a class is shed first.
+    /// The shed order of a class.
     pub fn class_order(&self, class: ClassId) -> ShedOrder {
         self.class_order[class.0]
     }
 
-    /// Whether a request is shed first: for its tenant's sake or for its class's.
+    /// The shed order of a request: a request over its tenant's share is shed first, any other one in the
+    /// order of its class.
     pub fn order_of(&self, active: &ActiveRequest) -> ShedOrder {
         if active.is_over_share {
             ShedOrder::First
@@ -57,16 +62,17 @@
         }
     }
 
-    /// The share of the traffic whose class is shed first.
-    pub fn shed_first_share(&self) -> f64 {
-        let by_class = self.traffic.by_class();
+    /// The fraction of the traffic that belongs to classes that are shed first; NaN if no request has
+    /// been counted.
+    pub fn shed_first_fraction(&self) -> f64 {
+        let by_class = self.traffic.requests_by_class();
         let is_first = |order: &ShedOrder| *order == ShedOrder::First;
         let counts = by_class.iter().zip(&self.class_order);
         let first: f64 = counts.map(|(count, order)| if is_first(order) { *count } else { 0.0 }).sum();
         first / by_class.iter().sum::<f64>()
     }
 
-    /// Decides anew which classes are shed first.
+    /// Recomputes which classes are shed first.
     pub fn rank_classes(&mut self, settings: &Settings, latency: &FleetLatency) {
         self.class_order = rank_classes(settings, &self.traffic, latency);
     }
--- a/crates/balancer-core/src/policy/shedding/shedder/tests.rs
+++ b/crates/balancer-core/src/policy/shedding/shedder/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of tenants' shares.
+//! Tests of how tenants' shares are enforced.
 
 use super::*;
 use crate::{RequestId, Span, Tenant, TenantId};
@@ -13,7 +13,8 @@
     Settings { tenants: vec![tenant; 2], over_share_value, ..Settings::default() }
 }
 
-/// How many of a thousand requests of a tenant are over its share, if it has sent `own` and another `others`.
+/// Counts how many of a thousand requests of a tenant are over its share, after this tenant has sent `own`
+/// requests and another tenant `others`.
 fn over_share_of_a_thousand(settings: &Settings, own: usize, others: usize) -> usize {
     let mut shedder = LoadShedder::new(1, 2);
     for _ in 0..own {
@@ -31,7 +32,7 @@
     assert_eq!(over_share_of_a_thousand(&settings(0.1), 69, 31), 0);
 }
 
-/// 90 of 100 requests, where 70 are allowed: 20 of 90 are too many.
+/// The tenant has sent 90 of 100 requests and may send 70, so 20 of its 90 are over its share.
 #[test]
 fn the_excess_of_a_tenant_is_over_its_share() {
     let over_share = over_share_of_a_thousand(&settings(0.1), 90, 10);
--- a/crates/balancer-core/src/policy/shedding/traffic/tests.rs
+++ b/crates/balancer-core/src/policy/shedding/traffic/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn counts_keep_one_part_in_e_after_three_seconds() {
+fn counts_decay_to_one_in_e_after_three_seconds() {
     let mut traffic = Traffic::new(2, 1);
     traffic.count(Time::from_millis(1000), &request(0, Some(0)));
 
