--- a/crates/balancer-core/src/policy/concurrency/tests.rs
+++ b/crates/balancer-core/src/policy/concurrency/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the bounds of a server's concurrency limit, and of when it allows one more request.
+//! Tests of the bounds of a server's concurrency limit, and of when the limit allows one more request.
 
 use super::*;
 
@@ -16,37 +16,37 @@
     AnswerSample { ratio, smoothed_ratio: ratio, other_in_flight }
 }
 
-/// Whether a server in good health has capacity beside `in_flight` requests.
+/// Whether a limit that is not scaled down allows one more request while `in_flight` others are in flight.
 fn has_capacity_beside(limit: &ConcurrencyLimit, in_flight: u32) -> bool {
     limit.has_capacity(NOW, in_flight, &UNSCALED)
 }
 
-fn record_quick_answers(limit: &mut ConcurrencyLimit, count: u32, in_flight: u32) {
+fn record_quick_responses(limit: &mut ConcurrencyLimit, count: u32, in_flight: u32) {
     for _ in 0..count {
         limit.record(&sample(0.0, in_flight), MIN_LIMIT);
     }
 }
 
-fn record_late_answers(limit: &mut ConcurrencyLimit, count: u32, min_limit: f64) {
+fn record_late_responses(limit: &mut ConcurrencyLimit, count: u32, min_limit: f64) {
     for _ in 0..count {
         limit.record(&sample(1.0, 0), min_limit);
     }
 }
 
 #[test]
-fn server_that_has_not_answered_may_hold_two_requests() {
+fn server_that_has_not_responded_is_limited_to_two_requests() {
     let limit = ConcurrencyLimit::new(NOW);
 
     assert!(has_capacity_beside(&limit, 1));
     assert!(!has_capacity_beside(&limit, 2));
 }
 
-/// In full use it takes about five million answers to reach the bound.
+/// A fully used limit takes about five million responses to reach its maximum.
 #[test]
 fn limit_grows_to_a_thousand_requests_and_no_further() {
     let mut limit = ConcurrencyLimit::new(NOW);
 
-    record_quick_answers(&mut limit, 5_500_000, 2000);
+    record_quick_responses(&mut limit, 5_500_000, 2000);
 
     assert!(has_capacity_beside(&limit, 999));
     assert!(!has_capacity_beside(&limit, 1000));
@@ -57,30 +57,30 @@
     for min_limit in [0.05, 0.5] {
         let mut limit = ConcurrencyLimit::new(NOW);
 
-        record_late_answers(&mut limit, 1000, min_limit);
+        record_late_responses(&mut limit, 1000, min_limit);
         limit.complete(NOW, OBJECTIVE);
 
-        // A limit below one is kept by a pause after each answer.
-        let pause_ms = OBJECTIVE.as_millis_f64() * (1.0 / min_limit - 1.0);
+        // A limit below one is enforced by a delay after each response.
+        let delay_ms = OBJECTIVE.as_millis_f64() * (1.0 / min_limit - 1.0);
         let has_capacity_after = |ms| limit.has_capacity(NOW + Span::from_millis_f64(ms), 0, &UNSCALED);
-        assert!(!has_capacity_after(pause_ms - 1.0), "minimum {min_limit}");
-        assert!(has_capacity_after(pause_ms + 1.0), "minimum {min_limit}");
+        assert!(!has_capacity_after(delay_ms - 1.0), "minimum {min_limit}");
+        assert!(has_capacity_after(delay_ms + 1.0), "minimum {min_limit}");
     }
 }
 
 #[test]
-fn limit_that_is_not_in_full_use_does_not_grow() {
+fn limit_that_is_not_fully_used_does_not_grow() {
     let mut limit = ConcurrencyLimit::new(NOW);
 
-    record_quick_answers(&mut limit, 1000, 0);
+    record_quick_responses(&mut limit, 1000, 0);
 
     assert!(!has_capacity_beside(&limit, 2));
 }
 
 #[test]
-fn slow_answers_shrink_the_limit() {
+fn slow_responses_shrink_the_limit() {
     let mut limit = ConcurrencyLimit::new(NOW);
-    record_quick_answers(&mut limit, 1000, 2000);
+    record_quick_responses(&mut limit, 1000, 2000);
     assert!(has_capacity_beside(&limit, 10));
 
     for _ in 0..100 {
@@ -93,7 +93,7 @@
 #[test]
 fn admission_and_capacity_share_scale_the_limit_but_leave_one_request() {
     let mut limit = ConcurrencyLimit::new(NOW);
-    record_quick_answers(&mut limit, 1000, 2000);
+    record_quick_responses(&mut limit, 1000, 2000);
 
     assert!(limit.has_capacity(NOW, 6, &scale(0.5, 1.0)));
     assert!(!limit.has_capacity(NOW, 7, &scale(0.5, 1.0)));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn full_server_is_left_alone_for_a_typical_latency() {
+fn backoff_from_a_full_server_lasts_a_typical_latency() {
     let mut limit = ConcurrencyLimit::new(NOW);
 
     limit.back_off(NOW, OBJECTIVE, LatencyRatio::new(0.5));
--- a/crates/balancer-core/src/policy/slow_start.rs
+++ b/crates/balancer-core/src/policy/slow_start.rs
@@ -1,38 +1,44 @@
-//! Slow start: a server that has just started is sent no more than it is known to have capacity for, so that
-//! the sum of all balancers cannot overload it. Balancers need no coordination: each keeps to its own part.
+//! Slow start: a server that is warming up is sent no more work than it is known to have capacity for, so
+//! that all balancers together cannot overload it. The balancers need no coordination, because each of them
+//! limits its own traffic.
 //!
-//! In a dense view a server that is warming up gets its capacity share of the work that warm servers were
-//! sent lately ([`SlowStart::exceeds_share`]). In a sparse view it becomes a candidate only with the
-//! probability of that share ([`SlowStart::admits_candidate`]).
+//! In a dense view a server that is warming up is sent at most its capacity share of the work that a warm
+//! server was sent recently ([`SlowStart::exceeds_share`]). In a sparse view the server is a candidate only
+//! with a probability that follows from its capacity share ([`SlowStart::admits_candidate`]).
 
 use super::latency::INITIAL_RATIO;
 use super::smoothing::{update_recent_average, DecayingSum};
 use crate::units::{CapacityShare, LatencyRatio, Work};
 use crate::{Endpoint, Settings, Time};
 
-/// The part of the load that makes a server fail that it is sent at most.
-const SAFE_OVERLOAD_PART: f64 = 0.5;
-/// Work sent is counted over this part of the window in which too much of it makes a server fail.
-const WORK_WINDOW_PART: f64 = 0.5;
+/// Highest load of a server that is warming up, as a fraction of the load that makes it fail
+/// ([`Settings::overload_factor`]).
+const SAFE_OVERLOAD_FRACTION: f64 = 0.5;
+/// Time constant of the decay of recent work, as a fraction of the time after which an overloaded server
+/// fails ([`Settings::overload_window`]).
+const WORK_WINDOW_FRACTION: f64 = 0.5;
 
-/// Work that one server was sent lately while it was warming up, in milliseconds.
+/// Work that one server was sent recently while it was warming up, in milliseconds.
 #[derive(Default)]
 pub struct WarmUpWork {
     sum: DecayingSum,
 }
 
-/// How servers that are warming up compare with warm ones.
+/// Work and latency of warm servers, and the latency of servers that are warming up.
 pub struct SlowStart {
-    /// Serving servers that are warm.
-    warm_servers: usize,
-    /// Work that each warm server was sent lately, on average, in milliseconds.
+    /// Number of serving servers that are warm.
+    warm_server_count: usize,
+    /// Mean work that a warm server was sent recently, in milliseconds.
     work_per_warm_server: DecayingSum,
+    /// Smoothed latency ratio of servers that are warming up.
     warming_up_ratio: f64,
+    /// Smoothed latency ratio of warm servers.
     warm_ratio: f64,
 }
 
-/// The share of its capacity that a server is known to have: it grows evenly over the longest time that
-/// warming up takes (WIRE page, section 5, `coldShare` and `warmAfterMs`).
+/// The share of its capacity that a server is known to have at `now`. The share grows linearly from the
+/// initial capacity to 1 over the longest time that a server takes to warm up (WIRE page, section 5,
+/// `coldShare` and `warmAfterMs`).
 pub fn capacity_share(settings: &Settings, endpoint: &Endpoint, now: Time) -> CapacityShare {
     let Some(started_at) = endpoint.started_at else { return CapacityShare::FULL };
     let age_ms = now.since(started_at).as_millis_f64();
@@ -45,28 +51,28 @@
 }
 
 impl SlowStart {
-    /// What is assumed before anything has been sent.
+    /// Creates the state before the first attempt, with equal latencies for all servers.
     pub fn new() -> Self {
         SlowStart {
-            warm_servers: 0,
+            warm_server_count: 0,
             work_per_warm_server: DecayingSum::default(),
             warming_up_ratio: INITIAL_RATIO.value(),
             warm_ratio: INITIAL_RATIO.value(),
         }
     }
 
-    /// Counts the warm ones among the serving servers.
+    /// Updates the number of warm servers from the capacity shares of the serving servers.
     pub fn count_warm_servers(&mut self, serving: &[CapacityShare]) {
-        self.warm_servers = serving.iter().filter(|share| share.is_full()).count();
+        self.warm_server_count = serving.iter().filter(|share| share.is_full()).count();
     }
 
-    /// Records the latency of a server with this share of its capacity.
+    /// Records the latency ratio of an attempt at a server with this capacity share.
     pub fn record_latency(&mut self, share: CapacityShare, ratio: LatencyRatio) {
         let average = if share.is_full() { &mut self.warm_ratio } else { &mut self.warming_up_ratio };
         update_recent_average(average, ratio.value());
     }
 
-    /// Records that a server with this share of its capacity is sent work.
+    /// Records work that is sent to a server with this capacity share.
     pub fn record_work(
         &mut self,
         settings: &Settings,
@@ -75,7 +81,7 @@
         work: Work,
         now: Time,
     ) {
-        let decay_ms = WORK_WINDOW_PART * settings.overload_window.as_millis_f64();
+        let decay_ms = WORK_WINDOW_FRACTION * settings.overload_window.as_millis_f64();
         if share.is_full() {
             self.record_warm_work(now, decay_ms, work);
         } else {
@@ -84,31 +90,34 @@
     }
 
     fn record_warm_work(&mut self, now: Time, decay_ms: f64, work: Work) {
-        let part = work.as_millis_f64() / self.warm_servers.max(1) as f64;
-        self.work_per_warm_server.add(now, decay_ms, part);
+        let work_per_server_ms = work.as_millis_f64() / self.warm_server_count.max(1) as f64;
+        self.work_per_warm_server.add(now, decay_ms, work_per_server_ms);
     }
 
-    /// Work that each warm server was sent lately, on average, in milliseconds.
+    /// Mean work that a warm server was sent recently, in milliseconds.
     fn work_per_warm_server(&self, now: Time) -> f64 {
         self.work_per_warm_server.value_at(now)
     }
 
-    /// Whether this work would take a server past its share of what warm servers were sent lately. With this
-    /// limit the sum of all balancers cannot overload it while the warm ones are limited too.
+    /// Whether this work would make the recent work of a server exceed its capacity share of the recent work
+    /// of a warm server. With this limit all balancers together cannot overload the server as long as warm
+    /// servers are limited too.
     pub fn exceeds_share(&self, server: &WarmUpWork, share: CapacityShare, work: Work, now: Time) -> bool {
-        if share.is_full() || self.warm_servers == 0 {
+        if share.is_full() || self.warm_server_count == 0 {
             return false;
         }
         let allowed_work = share.value() * self.work_per_warm_server(now);
         server.sum.value_at(now) + work.as_millis_f64() > allowed_work
     }
 
-    /// Whether a server with this share of its capacity may be a candidate now. In a sparse view a server
-    /// that is warming up is empty in the eyes of all balancers, and their sum would overload it. Each admits
-    /// it only as often as the part of a warm server's share that it may get: what it is known to have
-    /// capacity for, and more while servers that are warming up answer sooner than warm ones
-    /// (docs/findings/fleet-join.md and fleet-shares.md). Where the emptiest candidate wins, it wins over
-    /// `competitors` at once, and the probability is divided by them.
+    /// Decides at random whether a server with this capacity share may be a candidate now.
+    ///
+    /// In a sparse view every balancer sees a server that is warming up as idle, and together they would
+    /// overload it. Each balancer therefore admits the server as a candidate only with a probability: its
+    /// capacity share, raised while servers that are warming up respond sooner than warm ones
+    /// (docs/findings/fleet-join.md and fleet-shares.md). Where the least loaded candidate is selected, an
+    /// idle server is selected instead of `competitors` other candidates, and the probability is divided by
+    /// their number.
     pub fn admits_candidate(
         &self,
         settings: &Settings,
@@ -116,13 +125,13 @@
         competitors: usize,
         rng: &mut fastrand::Rng,
     ) -> bool {
-        let max_factor = (SAFE_OVERLOAD_PART * settings.overload_factor).max(1.0);
+        let max_factor = (SAFE_OVERLOAD_FRACTION * settings.overload_factor).max(1.0);
         let factor = self.relative_speed().clamp(1.0, max_factor);
         let allowed_share = (share.value() * factor).min(1.0);
         allowed_share >= 1.0 || rng.f64() * (competitors as f64) < allowed_share
     }
 
-    /// How much sooner servers that are warming up answer than warm ones: 2 is half the latency.
+    /// Speed of servers that are warming up relative to warm servers: 2 means half the latency.
     fn relative_speed(&self) -> f64 {
         self.warm_ratio / self.warming_up_ratio
     }
--- a/crates/balancer-core/src/policy/slow_start/tests.rs
+++ b/crates/balancer-core/src/policy/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is known of servers that are warming up.
+//! Tests of the capacity share, recent work and relative speed of servers that are warming up.
 
 use super::*;
 use crate::test_support::assert_close;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn capacity_share_grows_evenly_from_the_initial_capacity() {
+fn capacity_share_grows_linearly_from_the_initial_capacity() {
     assert_close(capacity_share_at(0.0, 0.2), 0.2);
     assert_close(capacity_share_at(500.0, 0.2), 0.6);
     assert_close(capacity_share_at(999.0, 0.2), 0.9992);
@@ -36,7 +36,7 @@
 #[test]
 fn warm_work_is_averaged_over_the_warm_servers_and_decays() {
     let mut slow_start = SlowStart::new();
-    slow_start.warm_servers = 4;
+    slow_start.warm_server_count = 4;
 
     slow_start.record_warm_work(STARTED_AT, 100.0, Work::from_millis_f64(2.0));
 
