--- a/crates/balancer-core/src/policy/latency/tests.rs
+++ b/crates/balancer-core/src/policy/latency/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the latencies of servers, classes and kinds of machine.
+//! Tests of the latencies of servers, classes and machine kinds.
 
 use super::*;
 use crate::test_support::assert_close;
@@ -8,7 +8,7 @@
 
 const KIND: MachineKindId = MachineKindId(1);
 
-/// Recomputes the median from servers that have answered with these ratios.
+/// Recomputes the median from servers with these latency ratios.
 fn refresh_median(fleet: &mut FleetLatency, ratios: &[f64]) {
     let servers: Vec<ServerLatency> =
         ratios.iter().map(|&ratio| ServerLatency::restarted(LatencyRatio::new(ratio))).collect();
@@ -33,7 +33,7 @@
     let mut server = ServerLatency::default();
 
     for _ in 0..5000 {
-        // A fleet of its own for each sample, so that what is typical does not follow.
+        // Each sample is recorded in a new fleet, so that the typical latency of the class does not adapt.
         FleetLatency::new(1).record_success(CLASS, LatencyRatio::new(1e9), &mut server);
         assert!(server.relative_slowness <= 8.0, "{}", server.relative_slowness);
     }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn first_sample_of_a_server_counts_in_full_and_later_ones_in_part() {
+fn first_sample_of_a_server_sets_the_average_and_later_ones_move_it() {
     let mut fleet = FleetLatency::new(1);
     let mut server = ServerLatency::default();
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn server_of_an_unknown_kind_is_expected_to_be_like_the_median() {
+fn expected_ratio_for_an_unknown_machine_kind_is_the_median() {
     let mut fleet = FleetLatency::new(1);
     refresh_median(&mut fleet, &[0.3, 0.4, 0.9]);
 
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn server_without_samples_is_expected_to_be_like_its_kind() {
+fn expected_ratio_without_samples_is_that_of_the_machine_kind() {
     let mut fleet = FleetLatency::new(1);
     fleet.record_sample(KIND, LatencyRatio::new(0.6), &mut ServerLatency::default());
 
-    // The median that the kind began with counts as one sample.
+    // The median, with which the machine kind starts, counts as one sample.
     assert_close(fleet.expected_ratio(KIND, &ServerLatency::default()).value(), 0.4);
 }
 
 #[test]
-fn own_samples_outweigh_the_kind_by_two_to_one_at_most() {
+fn samples_of_a_server_outweigh_its_machine_kind_by_two_to_one_at_most() {
     let fleet = FleetLatency::new(1);
     let server = |samples| ServerLatency { ratio: 0.8, samples, relative_slowness: 1.0 };
 
@@ -99,12 +99,12 @@
     refresh_median(&mut fleet, &[0.0]);
 
     assert_eq!(fleet.median_ratio, 0.01);
-    let quick = ServerLatency { ratio: 0.0, samples: 100, relative_slowness: 1.0 };
-    assert_eq!(fleet.expected_ratio(KIND, &quick).value(), 0.01);
+    let fast = ServerLatency { ratio: 0.0, samples: 100, relative_slowness: 1.0 };
+    assert_eq!(fleet.expected_ratio(KIND, &fast).value(), 0.01);
 }
 
 #[test]
-fn median_stays_without_answers() {
+fn median_is_kept_without_samples() {
     let mut fleet = FleetLatency::new(1);
     refresh_median(&mut fleet, &[0.7]);
 
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn typical_latency_is_a_share_of_the_objective() {
+fn typical_latency_is_the_typical_ratio_times_the_objective() {
     let class = RequestClass { latency_objective: Span::from_millis(200), ..RequestClass::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
 
@@ -137,7 +137,7 @@
 
     fleet.record_success(CLASS, LatencyRatio::new(0.0008), &mut server);
 
-    // From 1.0 towards 0.0008 / 0.001 by the gain of a typical value.
+    // The value moves from 1.0 towards 0.0008 / 0.001 by the gain of a typical value.
     assert_close(server.relative_slowness, 1.0 - 0.04 * 0.2);
 }
 
--- a/crates/balancer-core/src/policy/smoothing.rs
+++ b/crates/balancer-core/src/policy/smoothing.rs
@@ -1,52 +1,54 @@
-//! Statistics of recent values: moving averages, decaying sums and the median.
+//! Statistics of recent values: exponential moving averages, decaying sums and the median.
 
 use crate::{Span, Time};
 
-/// Weight of a new value in an average of recent ones: about the last eight count.
+/// Weight of a new value in an average of recent values, which covers about the last eight values.
 const RECENT_GAIN: f64 = 0.12;
-/// Weight of a new value in what is typical.
+/// Weight of a new value that is lower than the typical value.
 const TYPICAL_GAIN: f64 = 0.04;
-/// Part of that weight that a higher value gets.
-const TYPICAL_RISE_PART: f64 = 0.25;
+/// Fraction of [`TYPICAL_GAIN`] that is the weight of a new value that is not lower than the typical value.
+const TYPICAL_RISE_FRACTION: f64 = 0.25;
 
-/// Moves an average of recent values towards a new one.
+/// Updates an exponential moving average of recent values with a new value.
 pub fn update_recent_average(average: &mut f64, value: f64) {
     *average += RECENT_GAIN * (value - *average);
 }
 
-/// Moves what is typical towards a new value, more slowly, and most slowly upwards: congestion must not be
-/// mistaken for the usual state.
-pub fn update_typical(typical: &mut f64, value: f64) {
-    let gain = if value < *typical { TYPICAL_GAIN } else { TYPICAL_GAIN * TYPICAL_RISE_PART };
+/// Updates a typical value with a new value. A typical value changes more slowly than an average of recent
+/// values, and rises more slowly than it falls, so that congestion is not mistaken for the typical state.
+pub fn update_typical_value(typical: &mut f64, value: f64) {
+    let gain = if value < *typical { TYPICAL_GAIN } else { TYPICAL_GAIN * TYPICAL_RISE_FRACTION };
     *typical += gain * (value - *typical);
 }
 
-/// A sum whose parts decay exponentially with time.
+/// A sum that decays exponentially with time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingSum {
+    /// The sum at `updated_at`.
     sum: f64,
+    /// Time constant of the decay, in milliseconds.
     decay_ms: f64,
     updated_at: Time,
 }
 
 impl DecayingSum {
-    /// What is left of the sum at `now`.
+    /// The decayed sum at `now`.
     pub fn value_at(&self, now: Time) -> f64 {
         self.sum * decay_factor(now.since(self.updated_at), self.decay_ms.max(1.0))
     }
 
-    /// Adds `part`; from now on the sum decays over `decay_ms` milliseconds.
-    pub fn add(&mut self, now: Time, decay_ms: f64, part: f64) {
-        *self = DecayingSum { sum: self.value_at(now) + part, decay_ms, updated_at: now };
+    /// Adds `amount` to the decayed sum, which then decays with a time constant of `decay_ms` milliseconds.
+    pub fn add(&mut self, now: Time, decay_ms: f64, amount: f64) {
+        *self = DecayingSum { sum: self.value_at(now) + amount, decay_ms, updated_at: now };
     }
 }
 
-/// What exponential decay over `decay_ms` milliseconds leaves of 1 after `elapsed`.
+/// The factor of an exponential decay after `elapsed`, with a time constant of `decay_ms` milliseconds.
 pub fn decay_factor(elapsed: Span, decay_ms: f64) -> f64 {
     (-elapsed.as_millis_f64() / decay_ms).exp()
 }
 
-/// The upper median of some values; `None` if there are no values.
+/// The median of `values`, the upper one if their number is even; `None` without values.
 pub fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/balancer-core/src/policy/smoothing/tests.rs
+++ b/crates/balancer-core/src/policy/smoothing/tests.rs
@@ -16,8 +16,8 @@
 fn typical_value_rises_a_quarter_as_fast_as_it_falls() {
     let (mut falling, mut rising) = (1.0, 1.0);
 
-    update_typical(&mut falling, 0.0);
-    update_typical(&mut rising, 2.0);
+    update_typical_value(&mut falling, 0.0);
+    update_typical_value(&mut rising, 2.0);
 
     assert_close(falling, 0.96);
     assert_close(rising, 1.01);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn decaying_sum_keeps_one_part_in_e_after_its_decay_time() {
+fn decaying_sum_decays_to_one_in_e_after_its_time_constant() {
     let mut sum = DecayingSum::default();
 
     sum.add(Time::from_millis(1000), 100.0, 3.0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn part_is_added_to_what_is_left_of_the_sum() {
+fn amount_is_added_to_the_decayed_sum() {
     let mut sum = DecayingSum::default();
     sum.add(Time::from_millis(1000), 100.0, 3.0);
 
