--- a/crates/balancer-core/src/policy/budget.rs
+++ b/crates/balancer-core/src/policy/budget.rs
@@ -1,27 +1,28 @@
-//! A token bucket that requests fill and extra work empties.
+//! A token bucket that limits extra work, such as retries, in proportion to the number of requests.
 
-/// A token bucket that is filled by requests and not by time.
+/// A token bucket that is refilled by requests and not with time.
 pub struct Budget {
+    /// The tokens in the bucket.
     balance: f64,
 }
 
 impl Budget {
-    /// A budget with this balance.
+    /// Creates a budget with this balance.
     pub fn new(balance: f64) -> Self {
         Budget { balance }
     }
 
-    /// What it can pay for.
+    /// The amount that can be spent.
     pub fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// Pays `amount` in; a balance over `max` is cut to it.
+    /// Adds `amount` to the balance, which is then limited to `max`.
     pub fn earn(&mut self, amount: f64, max: f64) {
         self.balance = (self.balance + amount).min(max);
     }
 
-    /// Pays `amount` out.
+    /// Subtracts `amount` from the balance. Does not check that the balance is large enough.
     pub fn spend(&mut self, amount: f64) {
         self.balance -= amount;
     }
--- a/crates/balancer-core/src/policy/budget/tests.rs
+++ b/crates/balancer-core/src/policy/budget/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of budgets.
+//! Tests of how a budget earns and spends its balance.
 
 use super::*;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn lower_maximum_cuts_the_balance() {
+fn lower_maximum_reduces_the_balance() {
     let mut budget = Budget::new(10.0);
 
     budget.earn(0.5, 1.0);
--- a/crates/balancer-core/src/policy/wait_queue.rs
+++ b/crates/balancer-core/src/policy/wait_queue.rs
@@ -1,17 +1,19 @@
-//! The local queue of requests that no server is open to.
+//! The queue of requests that cannot be sent to any server yet.
 
 use crate::RequestId;
 
-/// Longest queue, in requests.
-const MAX_LENGTH: usize = 500;
+/// Highest number of queued requests.
+const MAX_QUEUED_REQUESTS: usize = 500;
 
-/// The queue takes no more requests.
+/// Error of [`WaitQueue::push`]: the queue is full.
 #[derive(Debug)]
 pub struct QueueFull;
 
-/// Queued requests, newest first. Oldest first would let every request wait until it is nearly too late.
+/// Queued requests, newest first. If the oldest requests were sent first, every request would wait until
+/// shortly before its deadline.
 #[derive(Default)]
 pub struct WaitQueue {
+    /// The ids of the queued requests, newest first.
     requests: Vec<RequestId>,
 }
 
@@ -21,27 +23,27 @@
         self.requests.is_empty()
     }
 
-    /// Adds a request.
+    /// Adds a request to the front of the queue.
     ///
     /// # Errors
     ///
-    /// If the queue is full.
+    /// Returns [`QueueFull`] if the queue is full.
     pub fn push(&mut self, request: RequestId) -> Result<(), QueueFull> {
-        if self.requests.len() >= MAX_LENGTH {
+        if self.requests.len() >= MAX_QUEUED_REQUESTS {
             return Err(QueueFull);
         }
         self.requests.insert(0, request);
         Ok(())
     }
 
-    /// Empties the queue; its requests come by rank, newest first within each rank.
+    /// Removes all requests from the queue and returns them by ascending rank, newest first within each rank.
     pub fn take_by_rank<R: Ord>(&mut self, rank: impl Fn(RequestId) -> R) -> Vec<RequestId> {
         let mut requests = std::mem::take(&mut self.requests);
         requests.sort_by_cached_key(|&request| rank(request));
         requests
     }
 
-    /// Puts back what is left of the requests that were taken, in their order.
+    /// Puts back requests that [`take_by_rank`](Self::take_by_rank) has returned, in the given order.
     pub fn restore(&mut self, requests: Vec<RequestId>) {
         self.requests = requests;
     }
--- a/crates/balancer-core/src/policy/wait_queue/tests.rs
+++ b/crates/balancer-core/src/policy/wait_queue/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the order and the bound of the queue.
+//! Tests of the order and the maximum length of the queue.
 
 use super::*;
 
 fn queue_of(ids: impl IntoIterator<Item = u64>) -> WaitQueue {
     let mut queue = WaitQueue::default();
     for id in ids {
-        queue.push(RequestId(id)).expect("there is room");
+        queue.push(RequestId(id)).expect("the queue is not full");
     }
     queue
 }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_restored_keeps_its_order() {
+fn restored_requests_keep_their_order() {
     let mut queue = queue_of(1..=3);
     let mut taken = queue.take_by_rank(|_| ());
     taken.retain(|id| id.0 != 2);
--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -1,42 +1,45 @@
-//! Opening a watch of the endpoint list again after it broke.
+//! The schedule for reopening the watch of the endpoint list after a failure.
 
 use crate::{Span, Time};
 
-/// First delay before a broken watch is opened again.
+/// Delay before a failed watch is reopened for the first time, before jitter.
 const MIN_BACKOFF: Span = Span::from_millis(200);
-/// Growth of the delay with each failure.
+/// Factor by which the delay grows with each failure.
 const BACKOFF_FACTOR: f64 = 2.0;
-/// The longest delay is this part of the interval at which the list must be asked for.
-const MAX_BACKOFF_PART: f64 = 0.25;
-/// Jitter multiplies a delay by a random factor between this and one more.
+/// Longest delay before jitter, as a fraction of the interval at which the endpoint list must be polled.
+const MAX_BACKOFF_FRACTION: f64 = 0.25;
+/// Lowest factor by which jitter multiplies a delay; the highest factor is greater by 1.
 const MIN_JITTER: f64 = 0.5;
 
-/// When a broken watch is opened again.
+/// The schedule for reopening a failed watch.
 pub struct WatchRetry {
+    /// Delay after the next failure, before jitter.
     backoff: Span,
+    /// When the watch is to be reopened; `None` if no reopening is scheduled.
     retry_at: Option<Time>,
 }
 
 impl WatchRetry {
-    /// No watch has broken.
+    /// Creates the schedule for a watch that has not failed.
     pub fn new() -> Self {
         WatchRetry { backoff: MIN_BACKOFF, retry_at: None }
     }
 
-    /// Schedules the next attempt after a failure.
+    /// Schedules the reopening of the watch after a failure, with a growing delay and jitter.
     pub fn schedule(&mut self, now: Time, max_poll_interval: Span, rng: &mut fastrand::Rng) {
         let jitter = MIN_JITTER + rng.f64();
-        let max_backoff = max_poll_interval * MAX_BACKOFF_PART;
+        let max_backoff = max_poll_interval * MAX_BACKOFF_FRACTION;
         self.retry_at = Some(now + self.backoff.min(max_backoff) * jitter);
         self.backoff = (self.backoff * BACKOFF_FACTOR).min(max_backoff);
     }
 
-    /// The endpoint list has arrived: the next failure starts with a short delay.
+    /// Resets the delay to its minimum. Called when an endpoint list has arrived.
     pub fn reset_backoff(&mut self) {
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Whether the watch is to be opened now; from then on it counts as opened.
+    /// Whether the watch is to be reopened at `now`. If so, the schedule is cleared, and the caller must
+    /// reopen the watch.
     pub fn take_due(&mut self, now: Time) -> bool {
         self.retry_at.take_if(|at| now >= *at).is_some()
     }
--- a/crates/balancer-core/src/policy/watch/tests.rs
+++ b/crates/balancer-core/src/policy/watch/tests.rs
@@ -1,18 +1,18 @@
-//! Tests of when a broken watch is opened again.
+//! Tests of when a failed watch is reopened.
 
 use super::*;
 
 const NOW: Time = Time::from_millis(1_000);
 const MAX_POLL_INTERVAL: Span = Span::from_secs(10);
 
-/// The delay after each of `failures` failures in a row, with jitter drawn from `seed`.
+/// The delay after each of `failures` consecutive failures, with jitter from a generator with this seed.
 fn delays(failures: usize, seed: u64) -> Vec<Span> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut watch = WatchRetry::new();
+    let mut watch_retry = WatchRetry::new();
     let mut delays = Vec::new();
     for _ in 0..failures {
-        watch.schedule(NOW, MAX_POLL_INTERVAL, &mut rng);
-        delays.push(watch.retry_at.expect("it is scheduled").since(NOW));
+        watch_retry.schedule(NOW, MAX_POLL_INTERVAL, &mut rng);
+        delays.push(watch_retry.retry_at.expect("a retry is scheduled").since(NOW));
     }
     delays
 }
@@ -28,27 +28,27 @@
 }
 
 #[test]
-fn a_list_resets_the_delay() {
+fn reset_backoff_restores_the_shortest_delay() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut watch = WatchRetry::new();
+    let mut watch_retry = WatchRetry::new();
     for _ in 0..5 {
-        watch.schedule(NOW, MAX_POLL_INTERVAL, &mut rng);
+        watch_retry.schedule(NOW, MAX_POLL_INTERVAL, &mut rng);
     }
 
-    watch.reset_backoff();
-    watch.schedule(NOW, MAX_POLL_INTERVAL, &mut rng);
+    watch_retry.reset_backoff();
+    watch_retry.schedule(NOW, MAX_POLL_INTERVAL, &mut rng);
 
-    assert!(watch.take_due(NOW + Span::from_millis(300)));
+    assert!(watch_retry.take_due(NOW + Span::from_millis(300)));
 }
 
 #[test]
-fn watch_is_due_once() {
-    let mut watch = WatchRetry::new();
-    assert!(!watch.take_due(NOW + MAX_POLL_INTERVAL), "nothing has failed");
+fn watch_retry_is_due_once() {
+    let mut watch_retry = WatchRetry::new();
+    assert!(!watch_retry.take_due(NOW + MAX_POLL_INTERVAL), "the watch has not failed");
 
-    watch.schedule(NOW, MAX_POLL_INTERVAL, &mut fastrand::Rng::with_seed(1));
+    watch_retry.schedule(NOW, MAX_POLL_INTERVAL, &mut fastrand::Rng::with_seed(1));
 
-    assert!(!watch.take_due(NOW));
-    assert!(watch.take_due(NOW + MAX_POLL_INTERVAL));
-    assert!(!watch.take_due(NOW + MAX_POLL_INTERVAL));
+    assert!(!watch_retry.take_due(NOW));
+    assert!(watch_retry.take_due(NOW + MAX_POLL_INTERVAL));
+    assert!(!watch_retry.take_due(NOW + MAX_POLL_INTERVAL));
 }
