--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -67,8 +67,7 @@
         Probability::new(self.probability)
     }
 
-    /// Adjusts the probability by the latency ratio of one attempt, while `in_flight` other attempts are in
-    /// flight.
+    /// Adjusts the probability by the latency ratio of one attempt, while `in_flight` attempts have not ended.
     pub fn record(&mut self, ratio: LatencyRatio, in_flight: usize) {
         let bounds = self.adjustment_bounds();
         let round_trip_attempts = bounds.min_round_trip_attempts.max(in_flight + 1);
--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::{Span, Time};
 
-/// Delay before a failed watch is reopened for the first time, before jitter.
+/// Delay before a watch is reopened after its first failure, before jitter.
 const MIN_BACKOFF: Span = Span::from_millis(200);
 /// Factor by which the delay grows with each failure.
 const BACKOFF_FACTOR: f64 = 2.0;
