--- a/crates/balancer-agent/src/headers.rs
+++ b/crates/balancer-agent/src/headers.rs
@@ -1,8 +1,9 @@
-//! The headers that are forwarded from clients to servers.
+//! Selects the headers of a client's request that are forwarded to a server.
 
 use hyper::header::HeaderMap;
 
-/// Headers that are not forwarded: they concern the client's connection only, or the agent sets its own.
+/// The headers that are not forwarded, because they apply only to the client's connection or because the
+/// agent sets its own value.
 const NOT_FORWARDED: [&str; 12] = [
     "connection",
     "keep-alive",
@@ -18,7 +19,8 @@
     "x-timeout",
 ];
 
-/// The headers that are forwarded: all but those of [`NOT_FORWARDED`] and those that `Connection` lists.
+/// Returns the headers that are forwarded: all except those in [`NOT_FORWARDED`] and those that a
+/// `Connection` header lists.
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_values = headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
     let listed_names: Vec<String> = connection_values
--- a/crates/balancer-agent/src/headers/tests.rs
+++ b/crates/balancer-agent/src/headers/tests.rs
@@ -1,4 +1,4 @@
-//! Which headers are forwarded.
+//! Tests of the selection of headers that are forwarded.
 
 use super::*;
 use hyper::header::HeaderValue;
--- a/crates/balancer-agent/src/main.rs
+++ b/crates/balancer-agent/src/main.rs
@@ -1,5 +1,5 @@
-//! A client-side load-balancing agent. It accepts HTTP/1.1 requests from the application beside it and sends
-//! them to the servers over HTTP/1.1, as [`balancer_core`] decides.
+//! A client-side load-balancing agent. The agent runs beside its clients, accepts their HTTP/1.1 requests,
+//! and sends them over HTTP/1.1 to the servers that [`balancer_core`] selects.
 
 mod clock;
 mod config;
@@ -25,15 +25,15 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// File descriptors kept for files, discovery and the runtime.
+/// The number of file descriptors that are reserved for files, discovery and the runtime.
 const RESERVED_SOCKETS: usize = 24;
-/// The share of the other descriptors that is for the application's connections. The application holds at most
-/// a third of all descriptors for its requests (TERMS page).
-const CLIENT_SHARE: f64 = 0.5;
+/// The fraction of the other file descriptors that client connections may use. Clients use at most a third of
+/// all descriptors for their requests (TERMS page).
+const CLIENT_SOCKET_FRACTION: f64 = 0.5;
 /// The exit code of an agent that cannot start or continue.
 const EXIT_FAILURE: u8 = 2;
 
-/// Why the agent ended, other than by a graceful shutdown.
+/// Why the agent could not start or continue.
 #[derive(Debug, thiserror::Error)]
 enum AgentError {
     #[error(transparent)]
@@ -50,19 +50,19 @@
     DriverStopped,
 }
 
-/// How many descriptors connections may use.
+/// The maximum numbers of file descriptors that connections may use.
 struct SocketLimits {
-    /// For the application's connections.
+    /// The maximum number for client connections.
     clients: usize,
-    /// For connections to servers.
+    /// The maximum number for connections to servers.
     servers: usize,
 }
 
 impl SocketLimits {
-    /// Divides all descriptors of the process.
+    /// Divides the file descriptors that the process may open between clients and servers.
     fn divide(max_sockets: usize) -> Self {
         let sockets = max_sockets.saturating_sub(RESERVED_SOCKETS);
-        let clients = (sockets as f64 * CLIENT_SHARE) as usize;
+        let clients = (sockets as f64 * CLIENT_SOCKET_FRACTION) as usize;
         SocketLimits { clients, servers: sockets - clients }
     }
 }
@@ -81,6 +81,7 @@
     std::env::var(name).ok()
 }
 
+/// Loads the configuration and serves on a new runtime.
 fn start() -> Result<(), AgentError> {
     let config = Config::load(environment_variable)?;
     let runtime =
@@ -88,7 +89,8 @@
     tokio::task::LocalSet::new().block_on(&runtime, serve(config))
 }
 
-/// Serves until SIGTERM, and then until all accepted requests are answered. SIGHUP reloads the configuration.
+/// Serves until SIGTERM, and then until all accepted requests are finished. SIGHUP reloads the address of
+/// discovery.
 async fn serve(config: Config) -> Result<(), AgentError> {
     let mut terminate = install_signal_handler(SignalKind::terminate(), "SIGTERM")?;
     let hangup = install_signal_handler(SignalKind::hangup(), "SIGHUP")?;
@@ -97,18 +99,18 @@
     let listen_error = |source| AgentError::Listen { address, source };
     let socket = TcpListener::bind(address).await.map_err(listen_error)?;
     let bound_address = socket.local_addr().map_err(listen_error)?;
-    let longest_deadline = longest_deadline(&config.settings);
+    let longest_timeout = longest_timeout(&config.settings);
     let limits = SocketLimits::divide(config.max_sockets);
     let driver = Driver::start(config, limits.servers)?;
     let mut driver_task = tokio::task::spawn_local(driver.clone().run());
-    let listener = Listener::new(driver.clone(), limits.clients, longest_deadline);
+    let listener = Listener::new(driver.clone(), limits.clients, longest_timeout);
     let accept_task = tokio::task::spawn_local(listener.clone().accept(socket));
     eprintln!("{name}: listening on {bound_address}");
 
     tokio::task::spawn_local(reload_on_hangup(hangup, driver, name.clone()));
     tokio::select! {
         _ = terminate.recv() => {}
-        // Without the driver, requests would be accepted but never answered. The agent ends, so that it is
+        // Without the driver, requests would be accepted but never finished. The agent exits, so that it is
         // restarted.
         _ = &mut driver_task => return Err(AgentError::DriverStopped),
     }
@@ -121,14 +123,14 @@
     signal(kind).map_err(|source| AgentError::Signal { signal: name, source })
 }
 
-/// The longest deadline of all request classes.
-fn longest_deadline(settings: &Settings) -> Duration {
+/// Returns the longest time that a client waits for a response, over all request classes.
+fn longest_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|class| class.deadline).max();
     Duration::from_micros(longest.unwrap_or_default().as_micros())
 }
 
-/// Reads the configuration file again at each SIGHUP, also during a graceful shutdown. Only the address of
-/// discovery is taken from it.
+/// Reloads the address of discovery from the configuration file at each SIGHUP, also during a graceful
+/// shutdown. Other changes to the file are ignored.
 async fn reload_on_hangup(mut hangup: Signal, driver: Rc<Driver>, name: String) {
     while hangup.recv().await.is_some() {
         match config::read_discovery_address(environment_variable) {
--- a/crates/balancer-agent/src/request.rs
+++ b/crates/balancer-agent/src/request.rs
@@ -1,4 +1,4 @@
-//! What passes between the listener and the driver: a request and its final answer.
+//! The requests that the listener submits to the driver, and the final responses that the driver returns.
 
 use balancer_core::{ClassId, RequestId, RoutingKey, Span, TenantId};
 use bytes::Bytes;
@@ -7,32 +7,32 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A client's request, complete and validated.
+/// A client's request, which has been received completely and validated.
 pub struct ClientRequest {
-    /// Its method.
+    /// The request's method.
     pub method: Method,
-    /// Its path and query.
+    /// The request's path and query.
     pub uri: Uri,
-    /// The headers that are forwarded.
+    /// The headers that are forwarded to servers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request's body.
     pub body: Bytes,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// The tenant that sent it.
+    /// The tenant that sent the request, if the settings have tenants.
     pub tenant: Option<TenantId>,
-    /// The object that it concerns.
+    /// The key of the object that the request is about, if the request's query names one.
     pub routing_key: Option<RoutingKey>,
-    /// The client's estimate of its work, in core time.
+    /// The client's estimate of the request's work, as the time that one core needs for it.
     pub cost_hint: Option<Span>,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as the client's own retry.
     pub is_client_retry: bool,
-    /// When the client stops waiting for its answer.
+    /// When the final response must be known, so that it is written before the client stops waiting.
     pub deadline: Instant,
 }
 
 impl ClientRequest {
-    /// The request in the balancer's terms, with the time that is left until its deadline.
+    /// Converts the request to the balancer's type. `time_left` is the time left until the deadline.
     pub fn for_balancer(&self, id: RequestId, time_left: Span) -> balancer_core::Request {
         balancer_core::Request {
             id,
@@ -46,32 +46,32 @@
     }
 }
 
-/// A request that the driver has accepted and whose answer is pending.
+/// A request that has been submitted to the driver and whose final response is pending.
 pub struct SubmittedRequest {
-    /// The number that the driver gave it.
+    /// The id that the driver assigned to the request.
     pub id: RequestId,
-    /// Receives its answer.
+    /// Receives the final response.
     pub answer: oneshot::Receiver<FinalAnswer>,
 }
 
-/// The one final answer to a request.
+/// The final response to a request.
 pub enum FinalAnswer {
-    /// A server's complete answer.
+    /// A server's response, which has been received completely.
     Served(ServedAnswer),
-    /// Rejected by the balancer; the request has not run, and a retry is harmless.
+    /// The balancer has rejected the request. The request was not processed and may be retried.
     Rejected {
-        /// When a retry makes sense, if the settings allow the agent to say so.
+        /// The time after which a retry makes sense, if the settings allow the agent to state it.
         retry_after: Option<Span>,
     },
-    /// Failed; the request may have run.
+    /// The request has failed with this status. A server may have processed it.
     Failed(StatusCode),
 }
 
-/// The parts of a server's answer that are passed on to the client.
+/// The parts of a server's response that are forwarded to the client.
 #[derive(Debug)]
 pub struct ServedAnswer {
-    /// Its content type.
+    /// The response's content type.
     pub content_type: Option<HeaderValue>,
-    /// Its body.
+    /// The response's body.
     pub body: Bytes,
 }
