--- a/crates/balancer-agent/src/framing.rs
+++ b/crates/balancer-agent/src/framing.rs
@@ -1,10 +1,15 @@
-//! Finds the boundaries of each request on a client connection before hyper reads it.
+//! Finds the boundaries of each request on a client connection before hyper parses the request.
 //!
-//! hyper drops a `Content-Length` beside a `Transfer-Encoding` and merges equal `Content-Length` headers, so
-//! the request it returns no longer shows that another peer might read the message differently. It also reads
-//! ahead, so an idle connection and one with a partly received request look alike. [`ClientStream`] gives
-//! hyper one complete head, then as many body bytes as the head announces, and nothing of the next request
-//! until the current one is answered.
+//! hyper alone does not suffice, for two reasons:
+//!
+//! - hyper drops a `Content-Length` beside a `Transfer-Encoding` and merges equal `Content-Length` headers.
+//!   The parsed request then no longer shows that its body length was ambiguous, so that another HTTP
+//!   implementation may find a different end of the request.
+//! - hyper reads ahead. An idle connection then cannot be distinguished from one with a partly received
+//!   request.
+//!
+//! [`ClientStream`] gives hyper one complete head, then as many body bytes as the head announces. It holds
+//! back the bytes of the next request until the response to the current one has been written.
 
 mod client_stream;
 mod connection_state;
@@ -14,5 +19,5 @@
 pub use client_stream::ClientStream;
 pub use connection_state::{ConnectionState, FramingFault, Phase};
 
-/// The size limit of a request's head, in bytes.
+/// The maximum size of a request's head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/crates/balancer-agent/src/framing/client_stream.rs
+++ b/crates/balancer-agent/src/framing/client_stream.rs
@@ -1,4 +1,4 @@
-//! The socket of a client connection, read request by request.
+//! The socket of a client connection, from which hyper reads one request at a time.
 
 use super::connection_state::ConnectionState;
 use super::request_framer::RequestFramer;
@@ -10,26 +10,27 @@
 use std::task::{ready, Context, Poll};
 use tokio::net::TcpStream;
 
-/// How many bytes are read at a time.
-const READ_BYTES: usize = 4 << 10;
-/// How many bytes are read and discarded after the last answer before the connection is closed anyway
-/// (docs/findings/closes.md).
+/// The size of the buffer for one read from the socket, in bytes.
+const READ_BUFFER_BYTES: usize = 4 << 10;
+/// The maximum number of bytes that are read and discarded after the last response. After that many the
+/// connection is closed even if the client still sends (docs/findings/closes.md).
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-/// A client connection that gives hyper one request at a time.
+/// The byte stream of a client connection, which gives hyper one request at a time.
 pub struct ClientStream {
     io: TokioIo<TcpStream>,
     state: Rc<ConnectionState>,
     framer: RequestFramer,
-    /// Whether the client has shut down its sending side.
+    /// Whether the end of the stream has been read, because the client has shut down its sending side.
     is_at_end: bool,
-    /// How many bytes after the last answer have been read and discarded.
+    /// The number of bytes that have been read and discarded after the last response.
     discarded_bytes: usize,
+    /// Whether `TCP_NODELAY` has been set on the socket.
     is_nodelay_set: bool,
 }
 
 impl ClientStream {
-    /// Wraps an accepted connection.
+    /// Wraps an accepted connection, whose state is recorded in `state`.
     pub fn new(stream: TcpStream, state: Rc<ConnectionState>) -> Self {
         ClientStream {
             io: TokioIo::new(stream),
@@ -41,29 +42,30 @@
         }
     }
 
-    /// Sets `TCP_NODELAY`, as bytes that wait in the socket are lost if the connection is reset. The option
-    /// may fail on a connection that has just been accepted and succeed a moment later, so it is tried before
-    /// each write until it succeeds. Failures are ignored: without the option answers are slower, but still
-    /// sent (docs/findings/closes.md).
+    /// Sets `TCP_NODELAY`, because bytes that wait in the socket are lost if the connection is reset.
+    ///
+    /// Setting the option may fail on a connection that has just been accepted and succeed a moment later, so
+    /// it is retried before each write until it succeeds. Failures are ignored: without the option, responses
+    /// are sent later, but they are sent (docs/findings/closes.md).
     fn set_nodelay(&mut self) {
         if !self.is_nodelay_set {
             self.is_nodelay_set = self.io.inner().set_nodelay(true).is_ok();
         }
     }
 
-    /// Reads more bytes into the framer; `false` at the end of the stream. Bytes that the framer does not
-    /// keep are read as well, as the end of the stream is only seen after them.
+    /// Reads bytes from the socket into the framer. Returns `false` at the end of the stream. Bytes that the
+    /// framer drops are read too, because the end of the stream can be detected only after them.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if self.is_at_end {
             return Poll::Ready(Ok(false));
         }
-        let mut bytes = [0; READ_BYTES];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         let length = ready!(self.poll_receive(cx, &mut bytes))?;
         self.framer.push(&bytes[..length], &self.state);
         Poll::Ready(Ok(length > 0))
     }
 
-    /// Reads bytes from the socket; 0 at the end of the stream.
+    /// Reads bytes from the socket. Returns their number, which is 0 at the end of the stream.
     fn poll_receive(&mut self, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.io.inner().poll_read_ready(cx))?;
@@ -78,10 +80,11 @@
         }
     }
 
-    /// Waits after the last answer until the client closes. Closing a socket with unread bytes would reset
-    /// the connection, and the client would lose the part of the answer that it has not received.
-    fn poll_client_end(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut bytes = [0; READ_BYTES];
+    /// Reads and discards bytes after the last response, until the client closes the connection or
+    /// [`MAX_DISCARDED_BYTES`] have been discarded. Closing a socket with unread bytes would reset the
+    /// connection, and the client would lose the part of the response that it has not received.
+    fn poll_discard_until_end(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let mut bytes = [0; READ_BUFFER_BYTES];
         while !self.is_at_end && self.discarded_bytes < MAX_DISCARDED_BYTES {
             let length = ready!(self.poll_receive(cx, &mut bytes))?;
             self.discarded_bytes += length;
@@ -97,7 +100,7 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.state.acknowledge_answer() {
+        if this.state.record_read() {
             this.framer.start_next_request(&this.state);
         }
         loop {
@@ -112,11 +115,11 @@
             }
             match this.poll_fill(cx) {
                 Poll::Ready(Ok(true)) => {}
-                // hyper sees the end of the stream, even if the framer still holds bytes of a next request.
+                // hyper gets the end of the stream even if the framer buffers bytes of the next request.
                 Poll::Ready(Ok(false)) => return Poll::Ready(Ok(())),
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
                 Poll::Pending => {
-                    this.state.wake_reader_after_answer(cx.waker().clone());
+                    this.state.wake_reader_after_response(cx.waker().clone());
                     return Poll::Pending;
                 }
             }
@@ -131,15 +134,15 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_flush(cx))?;
-        // hyper flushes once its own buffer is empty.
-        self.state.output_flushed();
+        // hyper flushes the stream only when hyper's own write buffer is empty.
+        self.state.record_flush();
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_shutdown(cx))?;
-        if self.state.sending_shut_down() {
-            self.poll_client_end(cx)
+        if self.state.record_write_shutdown() {
+            self.poll_discard_until_end(cx)
         } else {
             Poll::Ready(Ok(()))
         }
--- a/crates/balancer-agent/src/framing/client_stream/tests.rs
+++ b/crates/balancer-agent/src/framing/client_stream/tests.rs
@@ -1,10 +1,10 @@
-//! Options of a client connection's socket.
+//! Tests of the options of a client connection's socket.
 
 use super::*;
 use std::future::poll_fn;
 use tokio::net::TcpListener;
 
-/// The option is not set when the connection is accepted, only before its first write.
+/// `TCP_NODELAY` is not set when a connection is accepted. It is set before the first write.
 #[tokio::test]
 async fn nodelay_is_set_before_the_first_write() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -13,7 +13,7 @@
     let mut stream = ClientStream::new(accepted.expect("a connection").0, ConnectionState::new());
     assert!(!stream.io.inner().nodelay().expect("an option"));
 
-    poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, b"x")).await.expect("it is written");
+    poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, b"x")).await.expect("the byte is written");
 
     assert!(stream.io.inner().nodelay().expect("an option"));
 }
--- a/crates/balancer-agent/src/framing/connection_state.rs
+++ b/crates/balancer-agent/src/framing/connection_state.rs
@@ -1,159 +1,163 @@
-//! The state machine of a client connection, shared by its socket and the task that serves it.
+//! The state machine of a client connection. The connection's [`ClientStream`](super::ClientStream) and the
+//! task that serves the connection share it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::task::Waker;
 use tokio::time::Instant;
 
-/// What a connection is doing.
+/// The phase of a client connection in the exchange of requests and responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// No byte has been received yet.
+    /// No byte has been received on the connection yet.
     Silent,
-    /// A request has been received in part.
+    /// A part of a request has been received.
     Receiving,
-    /// A request has been received completely, and its answer is pending.
+    /// A request has been received completely, and its response is pending.
     Processing,
-    /// The answer is decided and has not been written completely.
-    Answering,
-    /// Every request is answered, and nothing of another one has been read.
+    /// The response is known and has not been written completely.
+    Responding,
+    /// The responses to all requests have been written, and no byte of another request has been read.
     Idle,
-    /// The sending side is shut down; further bytes are read and discarded.
+    /// The agent has shut down its sending side. Further bytes from the client are read and discarded.
     Closing,
 }
 
 /// Why no further request can be read from a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingFault {
-    /// The body length of the current request can be read in two ways.
+    /// The body length of the current request is ambiguous, so that its end is unknown.
     AmbiguousLength,
-    /// More bytes followed the current request than are buffered.
+    /// More bytes followed the current request than the framer buffers, and some were dropped.
     ExcessBytes,
 }
 
-/// How far the last answer on a connection has been handled.
+/// The progress of the last response on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LastAnswer {
-    /// No answer has been written yet.
+enum LastResponse {
+    /// No response has been written on the connection yet.
     None,
-    /// It has been written, and the socket has not been read since.
+    /// A response has been written, and hyper has not read the stream since.
     Written,
-    /// It has been written, and the next request may be read.
-    Acknowledged,
+    /// A response has been written, and hyper has read the stream since.
+    FollowedByRead,
 }
 
-/// The state of one client connection. Each method that changes it is named for the event that it records.
+/// The state of one client connection. Each `record_` method records an event and makes the transition that
+/// follows from it.
 pub struct ConnectionState {
     phase: Cell<Phase>,
     phase_since: Cell<Instant>,
-    last_answer: Cell<LastAnswer>,
+    last_response: Cell<LastResponse>,
     framing_fault: Cell<Option<FramingFault>>,
-    /// The reader that waits for the answer before it can read the next request.
+    /// Wakes the reader that waits for the current response to be written before it reads the next request.
     waiting_reader: RefCell<Option<Waker>>,
 }
 
 impl ConnectionState {
-    /// The state of a connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new() -> Rc<Self> {
         Rc::new(ConnectionState {
             phase: Cell::new(Phase::Silent),
             phase_since: Cell::new(Instant::now()),
-            last_answer: Cell::new(LastAnswer::None),
+            last_response: Cell::new(LastResponse::None),
             framing_fault: Cell::new(None),
             waiting_reader: RefCell::new(None),
         })
     }
 
-    /// The current phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// When the current phase began.
+    /// Returns when the current phase began.
     pub fn phase_since(&self) -> Instant {
         self.phase_since.get()
     }
 
-    /// Whether an answer has been written on the connection.
-    pub fn has_answered(&self) -> bool {
-        self.last_answer.get() != LastAnswer::None
+    /// Returns whether a response has been written on the connection.
+    pub fn has_sent_response(&self) -> bool {
+        self.last_response.get() != LastResponse::None
     }
 
-    /// Why no further request can be read, if that is so.
+    /// Returns why no further request can be read, or `None` if the next request can be read.
     pub fn framing_fault(&self) -> Option<FramingFault> {
         self.framing_fault.get()
     }
 
     /// Records that a part of a request has been received.
-    pub fn request_bytes_received(&self) {
+    pub fn record_request_bytes(&self) {
         match self.phase.get() {
             Phase::Silent | Phase::Idle => self.enter(Phase::Receiving),
-            Phase::Receiving | Phase::Processing | Phase::Answering | Phase::Closing => {}
+            Phase::Receiving | Phase::Processing | Phase::Responding | Phase::Closing => {}
         }
     }
 
-    /// Records that a request has been received completely. The end of a request that was answered early does
-    /// not make its answer pending again.
-    pub fn request_completed(&self) {
+    /// Records that a request has been received completely. This changes nothing if the response was sent
+    /// before the end of the request was received.
+    pub fn record_request_complete(&self) {
         if self.phase.get() == Phase::Receiving {
             self.enter(Phase::Processing);
         }
     }
 
-    /// Records that the body length of the current request can be read in two ways.
-    pub fn ambiguous_length_found(&self) {
+    /// Records that the body length of the current request is ambiguous.
+    pub fn record_ambiguous_length(&self) {
         self.framing_fault.set(Some(FramingFault::AmbiguousLength));
     }
 
     /// Records that bytes after the current request have been dropped.
-    pub fn excess_bytes_dropped(&self) {
+    pub fn record_excess_bytes(&self) {
         self.framing_fault.set(Some(FramingFault::ExcessBytes));
     }
 
-    /// Records that the answer to the current request is decided.
-    pub fn answer_decided(&self) {
-        self.enter(Phase::Answering);
+    /// Records that the response to the current request is known and can be written.
+    pub fn record_response_ready(&self) {
+        self.enter(Phase::Responding);
     }
 
-    /// Records that all output so far has been written. If that includes the answer, the connection becomes
-    /// idle, and its reader is woken.
-    pub fn output_flushed(&self) {
-        if self.phase.get() != Phase::Answering {
+    /// Records that all output so far has been written. If the output includes the response, the connection
+    /// becomes idle and its reader is woken.
+    pub fn record_flush(&self) {
+        if self.phase.get() != Phase::Responding {
             return;
         }
         self.enter(Phase::Idle);
-        self.last_answer.set(LastAnswer::Written);
+        self.last_response.set(LastResponse::Written);
         let reader = self.waiting_reader.take();
         if let Some(reader) = reader {
             reader.wake();
         }
     }
 
-    /// Records that the socket is read again. Returns whether an answer has been written since the last read,
+    /// Records that hyper reads the stream. Returns whether a response has been written since the last read,
     /// so that the next request may be read.
-    pub fn acknowledge_answer(&self) -> bool {
-        let is_written = self.last_answer.get() == LastAnswer::Written;
+    pub fn record_read(&self) -> bool {
+        let is_written = self.last_response.get() == LastResponse::Written;
         if is_written {
-            self.last_answer.set(LastAnswer::Acknowledged);
+            self.last_response.set(LastResponse::FollowedByRead);
         }
         is_written
     }
 
-    /// Records that the sending side has been shut down. Returns whether that ended the connection with an
-    /// answer, which the client may not have read yet; a connection that was idle has had its answers read.
-    pub fn sending_shut_down(&self) -> bool {
-        let ends_with_answer = self.last_answer.get() == LastAnswer::Written;
-        if ends_with_answer && self.phase.get() != Phase::Closing {
+    /// Records that the agent has shut down its sending side. Returns whether this directly follows a
+    /// response, which the client may not have received yet. If hyper has read the stream since the response,
+    /// the connection was idle, and the client counts as having received the response.
+    pub fn record_write_shutdown(&self) -> bool {
+        let is_after_response = self.last_response.get() == LastResponse::Written;
+        if is_after_response && self.phase.get() != Phase::Closing {
             self.enter(Phase::Closing);
         }
-        ends_with_answer
+        is_after_response
     }
 
-    /// Wakes the reader when the next answer has been written.
-    pub fn wake_reader_after_answer(&self, reader: Waker) {
+    /// Registers a reader to be woken when the next response has been written.
+    pub fn wake_reader_after_response(&self, reader: Waker) {
         self.waiting_reader.replace(Some(reader));
     }
 
+    /// Enters a phase now.
     fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.phase_since.set(Instant::now());
--- a/crates/balancer-agent/src/framing/connection_state/tests.rs
+++ b/crates/balancer-agent/src/framing/connection_state/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of the transitions of a client connection.
+//! Tests of the transitions in the state of a client connection.
 
 use super::*;
 
-/// The state after a request has been received and its answer written.
+/// Returns the state of a connection whose first request has been received and responded to.
 fn idle() -> Rc<ConnectionState> {
     let state = ConnectionState::new();
-    state.request_bytes_received();
-    state.request_completed();
-    state.answer_decided();
-    state.output_flushed();
+    state.record_request_bytes();
+    state.record_request_complete();
+    state.record_response_ready();
+    state.record_flush();
     state
 }
 
@@ -17,62 +17,62 @@
     let state = ConnectionState::new();
     assert_eq!(state.phase(), Phase::Silent);
 
-    state.request_bytes_received();
+    state.record_request_bytes();
     assert_eq!(state.phase(), Phase::Receiving);
 
-    state.request_completed();
+    state.record_request_complete();
     assert_eq!(state.phase(), Phase::Processing);
 
-    state.answer_decided();
-    assert_eq!(state.phase(), Phase::Answering);
-    assert!(!state.has_answered());
+    state.record_response_ready();
+    assert_eq!(state.phase(), Phase::Responding);
+    assert!(!state.has_sent_response());
 
-    state.output_flushed();
+    state.record_flush();
     assert_eq!(state.phase(), Phase::Idle);
-    assert!(state.has_answered());
+    assert!(state.has_sent_response());
 }
 
 #[test]
-fn the_rest_of_a_request_that_was_answered_early_does_not_open_it_again() {
+fn the_rest_of_a_request_after_an_early_response_changes_nothing() {
     let state = ConnectionState::new();
-    state.request_bytes_received();
-    state.answer_decided();
+    state.record_request_bytes();
+    state.record_response_ready();
 
-    state.request_bytes_received();
-    state.request_completed();
+    state.record_request_bytes();
+    state.record_request_complete();
 
-    assert_eq!(state.phase(), Phase::Answering);
+    assert_eq!(state.phase(), Phase::Responding);
 }
 
 #[test]
-fn output_without_an_answer_changes_nothing() {
+fn output_without_a_response_changes_nothing() {
     let state = ConnectionState::new();
-    state.request_bytes_received();
+    state.record_request_bytes();
 
-    state.output_flushed();
+    state.record_flush();
 
     assert_eq!(state.phase(), Phase::Receiving);
-    assert!(!state.has_answered());
+    assert!(!state.has_sent_response());
 }
 
 #[test]
-fn an_answer_is_acknowledged_once_by_the_next_read() {
+fn only_the_first_read_after_a_response_reports_it() {
     let state = idle();
 
-    assert!(state.acknowledge_answer());
-    assert!(!state.acknowledge_answer());
-    assert!(state.has_answered());
+    assert!(state.record_read());
+    assert!(!state.record_read());
+    assert!(state.has_sent_response());
 }
 
 #[test]
-fn a_connection_closes_after_an_answer_that_was_not_acknowledged() {
+fn a_connection_is_closing_if_no_read_followed_its_last_response() {
     let state = idle();
-    assert!(state.sending_shut_down());
+    assert!(state.record_write_shutdown());
     assert_eq!(state.phase(), Phase::Closing);
 
     let state = idle();
-    state.acknowledge_answer();
-    assert!(!state.sending_shut_down());
+    state.record_read();
+    assert!(!state.record_write_shutdown());
     assert_eq!(state.phase(), Phase::Idle);
 }
 
@@ -81,10 +81,10 @@
     let state = ConnectionState::new();
     assert_eq!(state.framing_fault(), None);
 
-    state.ambiguous_length_found();
+    state.record_ambiguous_length();
     assert_eq!(state.framing_fault(), Some(FramingFault::AmbiguousLength));
 
     let state = ConnectionState::new();
-    state.excess_bytes_dropped();
+    state.record_excess_bytes();
     assert_eq!(state.framing_fault(), Some(FramingFault::ExcessBytes));
 }
--- a/crates/balancer-agent/src/framing/parser.rs
+++ b/crates/balancer-agent/src/framing/parser.rs
@@ -1,6 +1,8 @@
-//! Parses the head and the chunk lines of HTTP/1.1 requests that may be incomplete.
+//! A parser for the heads and chunk headers of HTTP/1.1 requests, which may have been received in part.
+//!
+//! A chunk header is the line before the data of a chunk, which states the chunk's size.
 
-/// How many header lines a head may have; hyper's own limit.
+/// The maximum number of header lines in a head, which is also hyper's limit.
 const MAX_HEADERS: usize = 100;
 
 /// The result of parsing a request's head. Lengths are in bytes.
@@ -8,14 +10,15 @@
 pub enum Head {
     /// More bytes are needed.
     Partial,
-    /// The bytes are not the head of a request.
-    Unreadable,
-    /// The body's length can be read in two ways.
+    /// The bytes are not the head of an HTTP/1.1 request.
+    Invalid,
+    /// The body's length is ambiguous: the headers state it more than once, or in a form that is not
+    /// supported.
     Ambiguous {
         /// The length of the head.
         head: usize,
     },
-    /// A body of known length follows, which may be empty.
+    /// A body of a known length follows. The length may be 0.
     Sized {
         /// The length of the head.
         head: usize,
@@ -29,16 +32,17 @@
     },
 }
 
-/// The result of parsing a chunk line of a chunked body. Lengths are in bytes.
+/// The result of parsing a chunk header. Lengths are in bytes.
 #[derive(Debug, PartialEq)]
-pub enum Chunk {
+pub enum ChunkHeader {
     /// More bytes are needed.
     Partial,
-    /// The bytes are not a chunk line.
-    Unreadable,
-    /// The length of the line, the chunk and the line end after it.
+    /// The bytes are not a chunk header.
+    Invalid,
+    /// A chunk follows. The value is the length of the chunk header, the chunk's data and the line end after
+    /// the data.
     Sized(u64),
-    /// The length of the last chunk's line and the trailers.
+    /// The last chunk, which has no data. The value is the length of the chunk header and the trailers.
     Last(usize),
 }
 
@@ -49,7 +53,7 @@
     let head = match request.parse(bytes) {
         Ok(httparse::Status::Complete(head)) => head,
         Ok(httparse::Status::Partial) => return Head::Partial,
-        Err(_) => return Head::Unreadable,
+        Err(_) => return Head::Invalid,
     };
     let content_lengths = header_values(request.headers, "content-length");
     let transfer_encodings = header_values(request.headers, "transfer-encoding");
@@ -64,36 +68,37 @@
     }
 }
 
-/// The values of all headers of this name.
+/// Returns the values of all headers with this name.
 fn header_values<'a>(headers: &[httparse::Header<'a>], name: &str) -> Vec<&'a [u8]> {
     let named = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
     named.map(|header| header.value).collect()
 }
 
-/// Parses the chunk line at the start of the bytes.
-pub fn parse_chunk(bytes: &[u8]) -> Chunk {
+/// Parses the chunk header at the start of the bytes, and the trailers if the chunk is the last one.
+pub fn parse_chunk_header(bytes: &[u8]) -> ChunkHeader {
     match httparse::parse_chunk_size(bytes) {
-        Ok(httparse::Status::Complete((line, 0))) => parse_trailers(&bytes[line..], line),
-        Ok(httparse::Status::Complete((line, size))) => {
-            let framing_length = (line + "\r\n".len()) as u64;
-            size.checked_add(framing_length).map_or(Chunk::Unreadable, Chunk::Sized)
+        Ok(httparse::Status::Complete((header, 0))) => parse_trailers(&bytes[header..], header),
+        Ok(httparse::Status::Complete((header, size))) => {
+            let framing_length = (header + "\r\n".len()) as u64;
+            size.checked_add(framing_length).map_or(ChunkHeader::Invalid, ChunkHeader::Sized)
         }
-        Ok(httparse::Status::Partial) => Chunk::Partial,
-        Err(_) => Chunk::Unreadable,
+        Ok(httparse::Status::Partial) => ChunkHeader::Partial,
+        Err(_) => ChunkHeader::Invalid,
     }
 }
 
-/// Parses the trailers after the last chunk's line, which has this length.
-fn parse_trailers(bytes: &[u8], last_line: usize) -> Chunk {
+/// Parses the trailers after the last chunk header, whose length is `last_header`.
+fn parse_trailers(bytes: &[u8], last_header: usize) -> ChunkHeader {
     let mut trailers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     match httparse::parse_headers(bytes, &mut trailers) {
-        Ok(httparse::Status::Complete((end, _))) => Chunk::Last(last_line + end),
-        Ok(httparse::Status::Partial) => Chunk::Partial,
-        Err(_) => Chunk::Unreadable,
+        Ok(httparse::Status::Complete((end, _))) => ChunkHeader::Last(last_header + end),
+        Ok(httparse::Status::Partial) => ChunkHeader::Partial,
+        Err(_) => ChunkHeader::Invalid,
     }
 }
 
-/// Parses a `Content-Length` of digits only; signs, lists and blanks are not accepted.
+/// Parses the value of a `Content-Length` header. Returns `None` unless it consists of digits only: signs,
+/// lists and blanks are not accepted.
 fn parse_length(value: &[u8]) -> Option<u64> {
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     if !is_number {
--- a/crates/balancer-agent/src/framing/parser/tests.rs
+++ b/crates/balancer-agent/src/framing/parser/tests.rs
@@ -1,7 +1,8 @@
-//! Body lengths that are accepted, and those that are ambiguous.
+//! Tests of the parsing of heads and chunk headers: body lengths that are accepted, and ambiguous ones.
 
 use super::*;
 
+/// Parses the head of a request with these header lines.
 fn parse_with(header_lines: &str) -> Head {
     parse_head(format!("POST /pay HTTP/1.1\r\n{header_lines}\r\nrest").as_bytes())
 }
@@ -31,15 +32,15 @@
 
 #[test]
 fn a_chunked_body_ends_with_its_last_chunk_and_the_trailers() {
-    assert_eq!(parse_chunk(b"4\r\nabcd\r\n0\r\n\r\n"), Chunk::Sized(9));
-    assert_eq!(parse_chunk(b"4;a=b\r\n"), Chunk::Sized(13));
-    assert_eq!(parse_chunk(b"0\r\n\r\nGET "), Chunk::Last(5));
-    assert_eq!(parse_chunk(b"0\r\nA: b\r\n\r\nGET "), Chunk::Last(11));
+    assert_eq!(parse_chunk_header(b"4\r\nabcd\r\n0\r\n\r\n"), ChunkHeader::Sized(9));
+    assert_eq!(parse_chunk_header(b"4;a=b\r\n"), ChunkHeader::Sized(13));
+    assert_eq!(parse_chunk_header(b"0\r\n\r\nGET "), ChunkHeader::Last(5));
+    assert_eq!(parse_chunk_header(b"0\r\nA: b\r\n\r\nGET "), ChunkHeader::Last(11));
     for partial in [&b""[..], b"4", b"4\r", b"0\r\n", b"0\r\n\r", b"0\r\nA: b\r\n"] {
-        assert_eq!(parse_chunk(partial), Chunk::Partial, "{partial:?}");
+        assert_eq!(parse_chunk_header(partial), ChunkHeader::Partial, "{partial:?}");
     }
-    for unreadable in [&b"x\r\n"[..], b"fffffffffffffffff\r\n", b"0\r\nno colon\r\n\r\n"] {
-        assert_eq!(parse_chunk(unreadable), Chunk::Unreadable, "{unreadable:?}");
+    for invalid in [&b"x\r\n"[..], b"fffffffffffffffff\r\n", b"0\r\nno colon\r\n\r\n"] {
+        assert_eq!(parse_chunk_header(invalid), ChunkHeader::Invalid, "{invalid:?}");
     }
 }
 
@@ -49,5 +50,5 @@
     assert_eq!(parse_with("A: b\r\n"), Head::Sized { head: 28, body: 0 });
     assert_eq!(parse_with("transfer-encoding: Chunked\r\n"), Head::Chunked { head: 50 });
     assert_eq!(parse_head(b"POST /pay HTTP/1.1\r\nContent-Le"), Head::Partial);
-    assert_eq!(parse_head(b"\0\x01\x02"), Head::Unreadable);
+    assert_eq!(parse_head(b"\0\x01\x02"), Head::Invalid);
 }
--- a/crates/balancer-agent/src/listener.rs
+++ b/crates/balancer-agent/src/listener.rs
@@ -1,4 +1,5 @@
-//! The agent's side towards clients: accepts connections, validates requests and writes one answer to each.
+//! The agent's server side: accepts the connections of clients, validates their requests, and writes one
+//! response to each request.
 
 mod acceptor;
 mod client_connection;
@@ -32,31 +33,32 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{timeout_at, Instant};
 
-/// The listening side: it owns the client connections, the request handler and the shutdown, and orders their
-/// steps.
+/// The server side of the agent. It accepts client connections, passes their requests to the request handler,
+/// and carries out a graceful shutdown.
 pub struct Listener {
     connections: ConnectionTable,
     request_handler: RequestHandler,
     shutdown: ShutdownSignal,
-    /// The longest deadline of a request.
-    longest_deadline: Duration,
+    /// The longest that a client waits for a response.
+    longest_timeout: Duration,
 }
 
 impl Listener {
-    /// Serves at most `max_connections` at a time. `longest_deadline` is the longest that a client waits for
-    /// an answer.
-    pub fn new(driver: Rc<Driver>, max_connections: usize, longest_deadline: Duration) -> Rc<Self> {
+    /// Creates a listener that serves at most `max_connections` connections at a time. `longest_timeout` is
+    /// the longest that a client waits for a response.
+    pub fn new(driver: Rc<Driver>, max_connections: usize, longest_timeout: Duration) -> Rc<Self> {
         Rc::new(Listener {
             connections: ConnectionTable::new(max_connections),
             request_handler: RequestHandler::new(driver),
             shutdown: ShutdownSignal::new(),
-            longest_deadline,
+            longest_timeout,
         })
     }
 
-    /// Accepts connections until a graceful shutdown ends it. Each is accepted at once; if all slots are in
-    /// use, a connection without a request is evicted, so that hundreds of unused connections do not lock
-    /// other clients out.
+    /// Runs the accept loop until a graceful shutdown ends it.
+    ///
+    /// Each connection is accepted at once. If all slots are in use then, a connection without a request is
+    /// evicted. Otherwise, hundreds of unused connections could lock other clients out.
     pub async fn accept(self: Rc<Self>, socket: TcpListener) {
         let acceptor = Acceptor::new(socket);
         while let Some(stream) = acceptor.next_connection(&self.shutdown).await {
@@ -66,54 +68,57 @@
         }
     }
 
-    /// Shuts down gracefully: announces `Connection: close` from now on and closes idle connections. Returns
-    /// once `accepting` has accepted the last connection and each connection has been closed after its last
-    /// answer, or when SIGKILL is due.
-    pub async fn shut_down(&self, accepting: JoinHandle<()>) {
-        let schedule = ShutdownSchedule::starting_at(Instant::now(), self.longest_deadline);
+    /// Shuts down gracefully: adds `Connection: close` to each response from now on and closes idle
+    /// connections.
+    ///
+    /// Returns once `accept_task` has accepted the last connection and each connection has been closed after
+    /// its last response, or shortly before SIGKILL is due if that is earlier.
+    pub async fn shut_down(&self, accept_task: JoinHandle<()>) {
+        let schedule = ShutdownSchedule::starting_at(Instant::now(), self.longest_timeout);
         self.shutdown.start(schedule);
         let all_closed = async {
-            // The task ends by itself; an error would mean that it has ended as well.
-            let _ = accepting.await;
+            // The task ends by itself. An error means that the task has panicked, so it has ended as well.
+            let _ = accept_task.await;
             self.connections.wait_until_empty().await;
         };
-        // At the time limit the agent exits with what is left.
+        // At the time limit the agent exits even if connections are still open.
         let _ = timeout_at(schedule.exit_by(), all_closed).await;
     }
 
+    /// Serves a connection, and removes it from the connection table after it has been closed.
     async fn run_connection(self: Rc<Self>, stream: TcpStream, connection: Rc<ClientConnection>) {
         self.clone().serve_connection(stream, connection.clone()).await;
         self.connections.close(connection.id());
     }
 
-    /// Serves the requests of a connection until it closes or exceeds a time limit.
+    /// Serves the requests of a connection until the connection is closed or exceeds a time limit.
     async fn serve_connection(self: Rc<Self>, stream: TcpStream, connection: Rc<ClientConnection>) {
         let listener = self.clone();
         let state = connection.state().clone();
-        let service = service_fn(move |request| listener.clone().answer(request, state.clone()));
+        let service = service_fn(move |request| listener.clone().respond(request, state.clone()));
         let slot_usage = || self.connections.usage();
-        connection.serve(stream, service, slot_usage, &self.shutdown, self.longest_deadline).await;
+        connection.serve(stream, service, slot_usage, &self.shutdown, self.longest_timeout).await;
     }
 
-    /// Answers one request, and decides whether that is the last answer on its connection.
-    async fn answer(
+    /// Responds to one request, and decides whether the response is the last one on its connection.
+    async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
         connection: Rc<ConnectionState>,
     ) -> Result<ClientResponse, Infallible> {
         let result = self.request_handler.handle(request, &connection, &self.shutdown).await;
-        // What follows an invalid request may not be what its sender meant to be read as a request.
-        let is_last = result.is_err() || self.closes_after_answer(&connection);
+        // The bytes after an invalid request may not begin with a request, so they must not be parsed as one.
+        let is_last = result.is_err() || self.is_last_response(&connection);
         let mut response = result.unwrap_or_else(ClientResponse::from);
         if is_last {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        connection.answer_decided();
+        connection.record_response_ready();
         Ok(response)
     }
 
-    /// Whether a valid request's answer is the last one on its connection.
-    fn closes_after_answer(&self, connection: &ConnectionState) -> bool {
+    /// Returns whether the response to a valid request is the last one on its connection.
+    fn is_last_response(&self, connection: &ConnectionState) -> bool {
         self.shutdown.has_started()
             || self.connections.usage() == SlotUsage::High
             || connection.framing_fault().is_some()
--- a/crates/balancer-agent/src/listener/client_connection.rs
+++ b/crates/balancer-agent/src/listener/client_connection.rs
@@ -1,4 +1,5 @@
-//! One client connection: serving its requests, and closing it at a time limit, an eviction or a shutdown.
+//! A client connection: the task that serves its requests, and closes it at a time limit, on eviction or
+//! during a shutdown.
 
 use super::response::ClientResponse;
 use super::shutdown::ShutdownSignal;
@@ -17,62 +18,65 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// How often a connection's time limit is computed anew, as it depends on the phase and on other connections.
-const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often a connection's time limit is computed. The limit changes with the connection's phase and with
+/// the number of other connections.
+const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Identifies an open connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct ConnectionId(u64);
 
 impl ConnectionId {
-    /// The id of the connection that is accepted after this one.
+    /// Returns the id of the connection that is accepted after this one.
     pub fn next(self) -> Self {
         ConnectionId(self.0 + 1)
     }
 }
 
-/// A connection that has been accepted, shared by the task that serves it and the connection table.
+/// A client connection that has been accepted. The task that serves it and the connection table share it.
 pub struct ClientConnection {
     id: ConnectionId,
     state: Rc<ConnectionState>,
+    /// Notifies the task that serves the connection of an eviction.
     eviction_requested: Notify,
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted.
+    /// Creates the entry of a connection that has just been accepted.
     pub fn new(id: ConnectionId) -> Self {
         ClientConnection { id, state: ConnectionState::new(), eviction_requested: Notify::new() }
     }
 
-    /// Its number in the connection table.
+    /// Returns the connection's id in the connection table.
     pub fn id(&self) -> ConnectionId {
         self.id
     }
 
-    /// What it is doing.
+    /// Returns the connection's state.
     pub fn state(&self) -> &Rc<ConnectionState> {
         &self.state
     }
 
-    /// Asks its task to close it. The task does not if a part of a request has been received by then.
+    /// Notifies the task that serves the connection to close it. The task does not close the connection if a
+    /// part of a request has been received by then.
     pub fn evict(&self) {
         self.eviction_requested.notify_one();
     }
 
-    /// Serves the requests that arrive over the stream until the client closes it, a time limit expires, or
-    /// it is evicted. A shutdown closes it after its last answer. `slot_usage` tells how scarce slots are
-    /// now.
+    /// Serves the requests that are received over the stream, until the client closes the connection, a time
+    /// limit expires, or the connection is evicted. During a shutdown, the connection is closed after its
+    /// last response. `slot_usage` returns the current slot usage.
     pub async fn serve<S>(
         &self,
         stream: TcpStream,
         service: S,
         slot_usage: impl Fn() -> SlotUsage,
         shutdown: &ShutdownSignal,
-        longest_deadline: Duration,
+        longest_timeout: Duration,
     ) where
         S: Service<Request<Incoming>, Response = ClientResponse, Error = Infallible>,
     {
-        let limits = TimeLimits::starting_now(longest_deadline);
+        let limits = TimeLimits::starting_now(longest_timeout);
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES).max_header_size(MAX_HEAD_BYTES);
         let stream = ClientStream::new(stream, self.state.clone());
@@ -84,13 +88,13 @@
             if limit.is_some_and(|limit| now >= limit) {
                 return;
             }
-            let next_check = now + CHECK_INTERVAL;
+            let next_check = now + LIMIT_CHECK_INTERVAL;
             let wake_at = limit.map_or(next_check, |limit| limit.min(next_check));
-            // Biased, so that received bytes are read before the connection's phase is looked at.
+            // The select is biased, so that received bytes are read before the phase is evaluated.
             tokio::select! {
                 biased;
-                // An error means that the client has left or sent malformed bytes; both concern this
-                // connection alone.
+                // An error means that the client has disconnected or has sent malformed bytes. Either affects
+                // only this connection.
                 _ = http_connection.as_mut() => return,
                 () = self.eviction_requested.notified() => {
                     if !self.has_request() {
@@ -99,7 +103,7 @@
                 }
                 _ = shutdown.started(), if !is_shutting_down => {
                     is_shutting_down = true;
-                    if !self.awaits_request() {
+                    if !self.is_awaiting_request() {
                         http_connection.as_mut().graceful_shutdown();
                     }
                 }
@@ -108,17 +112,17 @@
         }
     }
 
-    /// Whether a request is open or partly received.
+    /// Returns whether a request is open or partly received.
     fn has_request(&self) -> bool {
         match self.state.phase() {
-            Phase::Receiving | Phase::Processing | Phase::Answering => true,
+            Phase::Receiving | Phase::Processing | Phase::Responding => true,
             Phase::Silent | Phase::Idle | Phase::Closing => false,
         }
     }
 
-    /// Whether a shutdown waits for a request on the connection: for its first one, or for one that has been
-    /// received in part. The answer to it closes the connection.
-    fn awaits_request(&self) -> bool {
+    /// Returns whether a shutdown waits for a request on the connection: for the first request, or for one
+    /// that has been received in part. The response to that request closes the connection.
+    fn is_awaiting_request(&self) -> bool {
         matches!(self.state.phase(), Phase::Silent | Phase::Receiving)
     }
 }
--- a/crates/balancer-agent/src/listener/connection_table.rs
+++ b/crates/balancer-agent/src/listener/connection_table.rs
@@ -1,4 +1,5 @@
-//! The open client connections: their slots, and the eviction of a connection when all slots are in use.
+//! The table of open client connections. Each connection occupies a slot. When all slots are in use,
+//! connections are evicted to free one.
 
 use super::client_connection::{ClientConnection, ConnectionId};
 use super::slot_usage::SlotUsage;
@@ -11,19 +12,20 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// How often a wait for a slot looks for a connection that has become evictable.
+/// How often a wait for a slot searches for a connection that has become evictable.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The open client connections.
+/// The table of open client connections.
 pub struct ConnectionTable {
     max_connections: usize,
     next_id: Cell<ConnectionId>,
     connections: RefCell<HashMap<ConnectionId, Rc<ClientConnection>>>,
+    /// Notifies the tasks that wait for a slot or for the end of all connections.
     connection_closed: Notify,
 }
 
 impl ConnectionTable {
-    /// A table with this many slots.
+    /// Creates a table with `max_connections` slots.
     pub fn new(max_connections: usize) -> Self {
         ConnectionTable {
             max_connections,
@@ -33,7 +35,7 @@
         }
     }
 
-    /// How scarce the slots are.
+    /// Returns the current slot usage.
     pub fn usage(&self) -> SlotUsage {
         SlotUsage::of(self.connections.borrow().len(), self.max_connections)
     }
@@ -47,29 +49,30 @@
         connection
     }
 
-    /// Removes a connection that has been closed, which frees its slot.
+    /// Removes a connection that has been closed, and so frees its slot.
     pub fn close(&self, id: ConnectionId) {
         self.connections.borrow_mut().remove(&id);
         self.connection_closed.notify_one();
     }
 
-    /// Returns once a slot is free. While none is, connections are evicted one by one.
+    /// Waits until a slot is free. While none is free, evictable connections are evicted one by one.
     pub async fn wait_for_slot(&self) {
         while self.connections.borrow().len() >= self.max_connections {
             self.evict_one();
-            // Either a connection has closed or it is time to look for another one to evict.
+            // Ends when a connection has been closed, or when the search for an evictable one is due again.
             let _ = timeout(EVICTION_INTERVAL, self.connection_closed.notified()).await;
         }
     }
 
-    /// Returns once all connections are closed.
+    /// Waits until all connections are closed.
     pub async fn wait_until_empty(&self) {
         while !self.connections.borrow().is_empty() {
             self.connection_closed.notified().await;
         }
     }
 
-    /// Evicts the connection whose close costs its client least, if there is one that may be evicted.
+    /// Evicts the evictable connection with the lowest [`EvictionRank`], if any. Its close costs the client
+    /// least.
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let evictable = connections.values().filter(|connection| is_evictable(connection.state()));
@@ -79,19 +82,21 @@
     }
 }
 
-/// Whether a connection may be evicted now. One with an open or partly received request never is.
+/// Returns whether a connection may be evicted now. A connection with an open or partly received request is
+/// never evicted.
 fn is_evictable(state: &ConnectionState) -> bool {
     let time_in_phase = state.phase_since().elapsed();
     match state.phase() {
         Phase::Silent => time_in_phase >= MIN_SILENT_TIME,
         Phase::Idle => time_in_phase >= MIN_IDLE_TIME,
         Phase::Closing => true,
-        Phase::Receiving | Phase::Processing | Phase::Answering => false,
+        Phase::Receiving | Phase::Processing | Phase::Responding => false,
     }
 }
 
-/// The order of eviction, least first: silent and closing connections, then idle ones; the oldest phase
-/// first.
+/// The rank of an evictable connection in the order of eviction; the lowest rank comes first. Silent and
+/// closing connections come before idle ones. Among equals, the connection that has been in its phase the
+/// longest comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     is_idle: bool,
@@ -99,6 +104,7 @@
 }
 
 impl EvictionRank {
+    /// Returns the rank of a connection in this state.
     fn of(state: &ConnectionState) -> Self {
         EvictionRank { is_idle: state.phase() == Phase::Idle, phase_since: state.phase_since() }
     }
--- a/crates/balancer-agent/src/listener/invalid_request.rs
+++ b/crates/balancer-agent/src/listener/invalid_request.rs
@@ -1,55 +1,55 @@
-//! Why a request is invalid, and the response that says so.
+//! The reasons for which a request is invalid, and the response to an invalid request.
 
 use super::response::{text_response, ClientResponse};
 use hyper::header::{HeaderValue, ALLOW};
 use hyper::StatusCode;
 
-/// Why a request is invalid. Each message is the text of the response to the client.
+/// Why a request is invalid. The error message is the text of the response to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// Its body length can be read in two ways.
+    /// The length of the request's body is ambiguous.
     #[error("the request's length can be read in two ways")]
     AmbiguousLength,
-    /// Its path begins with no class of the settings.
+    /// The first segment of the request's path is not the name of a class in the settings.
     #[error("no such class of request")]
     UnknownClass,
-    /// Its class header does not name the class of its path.
+    /// The request's class header and path do not name the same class.
     #[error("X-Priority-Class must be the first part of the path")]
     ClassMismatch,
-    /// Its id is missing, empty or too long.
+    /// The request's id is missing, empty or too long.
     #[error("X-Request-ID is missing or too long")]
     BadRequestId,
-    /// Another request with its id is open.
+    /// Another request with the same id is open.
     #[error("a request with this X-Request-ID is open")]
     RequestIdInUse,
-    /// Its tenant header names no tenant of the settings.
+    /// The request's tenant header is missing or does not name a tenant in the settings.
     #[error("X-Tenant-Id names no tenant")]
     UnknownTenant,
-    /// Its timeout is missing or malformed.
+    /// The request's timeout is missing, malformed, zero or too long.
     #[error("X-Timeout must be a time such as 480m or 900u")]
     BadTimeout,
-    /// Its class has another method.
+    /// The request's method is not the one that its class allows.
     #[error("this class has another method")]
     WrongMethod {
-        /// The method of the class.
+        /// The method that the class allows.
         allowed: &'static str,
     },
-    /// Its class needs an idempotency key.
+    /// The request has no idempotency key, which its class requires.
     #[error("this class needs an Idempotency-Key")]
     MissingIdempotencyKey,
-    /// Its body exceeds the size limit.
+    /// The request's body exceeds the size limit.
     #[error("a body holds at most 64 KiB")]
     BodyTooLarge,
-    /// Its body is malformed or was cut off.
+    /// The request's body is malformed, or the stream ended before the end of the body.
     #[error("the body did not come whole")]
     IncompleteBody,
-    /// Its body was not received in time.
+    /// The request's body was not received completely within the read timeout.
     #[error("the body did not come in time")]
     BodyTimeout,
 }
 
 impl InvalidRequest {
-    /// The status of the response.
+    /// Returns the status of the response to the client.
     fn status(self) -> StatusCode {
         match self {
             InvalidRequest::UnknownClass => StatusCode::NOT_FOUND,
--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -1,10 +1,10 @@
-//! The handling of one client request, from its head to its answer.
+//! Handles one client request, from its head to its final response.
 
 use super::invalid_request::InvalidRequest;
 use super::open_requests::OpenRequestIds;
 use super::response::{text_response, ClientResponse};
 use super::shutdown::ShutdownSignal;
-use super::validation::{header_text, read_request, REQUEST_ID};
+use super::validation::{header_text, read_request, REQUEST_ID_HEADER};
 use crate::driver::Driver;
 use crate::framing::{ConnectionState, FramingFault};
 use crate::request::ClientRequest;
@@ -17,27 +17,27 @@
 
 /// The path of readiness requests.
 const READINESS_PATH: &str = "/ready";
-/// The balancer answers each request by its deadline. If it does not, the request handler does, this much
-/// later.
+/// How long after a request's deadline the request handler responds itself, if the balancer has not provided
+/// the final response by then.
 const DEADLINE_SLACK: Duration = Duration::from_millis(4);
 
-/// Validates requests, submits them to the driver and awaits their answers.
+/// Validates requests, submits them to the driver and waits for their final responses.
 pub struct RequestHandler {
     driver: Rc<Driver>,
     open_requests: OpenRequestIds,
 }
 
 impl RequestHandler {
-    /// A handler that submits requests to this driver.
+    /// Creates a handler that submits requests to this driver.
     pub fn new(driver: Rc<Driver>) -> Self {
         RequestHandler { driver, open_requests: OpenRequestIds::default() }
     }
 
-    /// Answers a request.
+    /// Handles a request and returns the response to it.
     ///
     /// # Errors
     ///
-    /// If the request is invalid; it has not been submitted then.
+    /// If the request is invalid. In this case it has not been submitted to the driver.
     pub async fn handle(
         &self,
         request: Request<Incoming>,
@@ -48,32 +48,33 @@
             return Err(InvalidRequest::AmbiguousLength);
         }
         if request.uri().path() == READINESS_PATH {
-            return Ok(self.readiness(shutdown));
+            return Ok(self.readiness_response(shutdown));
         }
         let request = read_request(request, &self.driver).await?;
-        let id = header_text(&request.headers, REQUEST_ID).unwrap_or_default();
+        let id = header_text(&request.headers, REQUEST_ID_HEADER).unwrap_or_default();
         let _id_guard = self.open_requests.open(id).ok_or(InvalidRequest::RequestIdInUse)?;
-        Ok(self.balance(request, shutdown).await)
+        Ok(self.submit_and_wait(request, shutdown).await)
     }
 
-    /// Has a valid request balanced, and awaits its answer until the request's deadline or the end of a
-    /// shutdown.
-    async fn balance(&self, request: ClientRequest, shutdown: &ShutdownSignal) -> ClientResponse {
+    /// Submits a valid request to the driver, and waits for the final response until shortly after the
+    /// request's deadline or until responses are due in a shutdown.
+    async fn submit_and_wait(&self, request: ClientRequest, shutdown: &ShutdownSignal) -> ClientResponse {
         let deadline = request.deadline;
         let submitted = self.driver.submit(request);
         let _disconnect_guard = DisconnectGuard { driver: &self.driver, id: submitted.id };
-        let answer = tokio::select! {
-            answer = timeout_at(deadline + DEADLINE_SLACK, submitted.answer) => answer.ok(),
-            () = shutdown.answers_due() => None,
+        let response = tokio::select! {
+            response = timeout_at(deadline + DEADLINE_SLACK, submitted.answer) => response.ok(),
+            () = shutdown.responses_due() => None,
         };
-        match answer {
-            Some(Ok(answer)) => answer.into(),
+        match response {
+            Some(Ok(response)) => response.into(),
             Some(Err(_)) => text_response(StatusCode::BAD_GATEWAY, "no answer was decided"),
             None => text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
         }
     }
 
-    fn readiness(&self, shutdown: &ShutdownSignal) -> ClientResponse {
+    /// Returns the response to a readiness request.
+    fn readiness_response(&self, shutdown: &ShutdownSignal) -> ClientResponse {
         if self.driver.is_ready() && !shutdown.has_started() {
             text_response(StatusCode::OK, "ready")
         } else {
@@ -82,8 +83,8 @@
     }
 }
 
-/// Tells the driver that a request no longer needs an answer. When a client disconnects, hyper drops
-/// the future that holds this guard. For a request that has been answered the driver does nothing.
+/// Notifies the driver on drop that a request no longer needs a response. When a client disconnects, hyper
+/// drops the future that holds this guard. If the request is finished, the driver does nothing.
 struct DisconnectGuard<'a> {
     driver: &'a Rc<Driver>,
     id: RequestId,
--- a/crates/balancer-agent/src/listener/response.rs
+++ b/crates/balancer-agent/src/listener/response.rs
@@ -1,4 +1,4 @@
-//! The responses to clients: their statuses, headers and texts.
+//! The responses to clients, with their statuses, headers and texts.
 
 use crate::request::{FinalAnswer, ServedAnswer};
 use balancer_core::Span;
@@ -10,7 +10,7 @@
 /// A response to a client.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// A response with this status and a line of text.
+/// Returns a response with this status and a body of one line of text.
 pub fn text_response(status: StatusCode, text: &str) -> ClientResponse {
     let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
     *response.status_mut() = status;
@@ -19,26 +19,27 @@
 }
 
 impl From<FinalAnswer> for ClientResponse {
-    fn from(answer: FinalAnswer) -> Self {
-        match answer {
-            FinalAnswer::Served(answer) => served_response(answer),
-            FinalAnswer::Rejected { retry_after } => rejection(retry_after),
+    fn from(response: FinalAnswer) -> Self {
+        match response {
+            FinalAnswer::Served(served) => served_response(served),
+            FinalAnswer::Rejected { retry_after } => rejection_response(retry_after),
             FinalAnswer::Failed(status) => text_response(status, "failed"),
         }
     }
 }
 
-/// A server's answer with its content type and body; its other headers are not forwarded.
-fn served_response(answer: ServedAnswer) -> ClientResponse {
-    let mut response = Response::new(Full::new(answer.body));
-    if let Some(content_type) = answer.content_type {
+/// Returns a response with the content type and the body of a server's response. The other headers of the
+/// server's response are not forwarded.
+fn served_response(served: ServedAnswer) -> ClientResponse {
+    let mut response = Response::new(Full::new(served.body));
+    if let Some(content_type) = served.content_type {
         response.headers_mut().insert(CONTENT_TYPE, content_type);
     }
     response
 }
 
-/// A 429 that may carry `Retry-After` in decimal seconds.
-fn rejection(retry_after: Option<Span>) -> ClientResponse {
+/// Returns a response with status 429, and with a `Retry-After` header if `retry_after` is given.
+fn rejection_response(retry_after: Option<Span>) -> ClientResponse {
     let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless");
     if let Some(value) = retry_after.and_then(retry_after_value) {
         response.headers_mut().insert(RETRY_AFTER, value);
@@ -46,6 +47,7 @@
     response
 }
 
+/// Formats the value of a `Retry-After` header, in seconds with three decimal places.
 fn retry_after_value(retry_after: Span) -> Option<HeaderValue> {
     let seconds = retry_after.as_millis_f64() / 1e3;
     HeaderValue::from_str(&format!("{seconds:.3}")).ok()
--- a/crates/balancer-agent/src/listener/shutdown.rs
+++ b/crates/balancer-agent/src/listener/shutdown.rs
@@ -1,38 +1,40 @@
-//! The schedule of a graceful shutdown, and the signal that it has begun.
+//! The schedule of a graceful shutdown, and the signal that notifies the listener's tasks of the shutdown.
 
 use std::future::pending;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// How long new connections are accepted after SIGTERM, as clients go on connecting for a while.
+/// How long new connections are accepted after SIGTERM, because clients still connect for a while.
 const ACCEPT_TIME: Duration = Duration::from_millis(650);
-/// The most that a deadline extends the shutdown. SIGKILL follows no sooner than 0.7 s and the longest
-/// deadline after SIGTERM (PROTOCOL page, "Figures").
-const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// How long the last answers may take to be written.
+/// The maximum time for responses after the last connection has been accepted, also if clients wait longer.
+/// SIGKILL follows SIGTERM no sooner than after 0.7 s plus the longest class deadline (PROTOCOL page,
+/// "Figures").
+const MAX_RESPONSE_TIME: Duration = Duration::from_secs(3);
+/// The time for writing the last responses before the agent exits.
 const FLUSH_TIME: Duration = Duration::from_millis(30);
 
 /// The times of a graceful shutdown.
 #[derive(Clone, Copy)]
 pub struct ShutdownSchedule {
-    /// New connections are accepted until then.
+    /// The time until which new connections are accepted.
     pub accept_until: Instant,
-    /// Every request is answered by then.
-    pub answer_by: Instant,
+    /// The time by which the final response to every request must be known.
+    pub respond_by: Instant,
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a shutdown that starts now, where requests have at most this deadline.
-    pub fn starting_at(now: Instant, longest_deadline: Duration) -> Self {
+    /// Returns the schedule of a shutdown that starts at `now`, if clients wait for a response for at most
+    /// `longest_timeout`.
+    pub fn starting_at(now: Instant, longest_timeout: Duration) -> Self {
         let accept_until = now + ACCEPT_TIME;
-        let answer_by = accept_until + longest_deadline.min(MAX_DEADLINE);
-        ShutdownSchedule { accept_until, answer_by }
+        let respond_by = accept_until + longest_timeout.min(MAX_RESPONSE_TIME);
+        ShutdownSchedule { accept_until, respond_by }
     }
 
-    /// When the agent exits, even if answers have not been written completely.
+    /// Returns when the agent exits, even if responses have not been written completely.
     pub fn exit_by(&self) -> Instant {
-        self.answer_by + FLUSH_TIME
+        self.respond_by + FLUSH_TIME
     }
 }
 
@@ -42,37 +44,38 @@
 }
 
 impl ShutdownSignal {
-    /// A signal that has not been given.
+    /// Creates a signal for a shutdown that has not begun.
     pub fn new() -> Self {
         ShutdownSignal { schedule: watch::Sender::new(None) }
     }
 
-    /// Begins the shutdown.
+    /// Signals that a shutdown with this schedule has begun.
     pub fn start(&self, schedule: ShutdownSchedule) {
         self.schedule.send_replace(Some(schedule));
     }
 
-    /// The schedule, if a shutdown has begun.
+    /// Returns the schedule of the shutdown, or `None` if no shutdown has begun.
     pub fn schedule(&self) -> Option<ShutdownSchedule> {
         *self.schedule.borrow()
     }
 
-    /// Whether a shutdown has begun.
+    /// Returns whether a shutdown has begun.
     pub fn has_started(&self) -> bool {
         self.schedule().is_some()
     }
 
-    /// Resolves once a shutdown has begun.
+    /// Waits until a shutdown has begun, and returns its schedule. Returns `None` if the sender of the signal
+    /// has been dropped, so that no shutdown can begin.
     pub async fn started(&self) -> Option<ShutdownSchedule> {
         let mut receiver = self.schedule.subscribe();
         let schedule = receiver.wait_for(Option::is_some).await.ok()?;
         *schedule
     }
 
-    /// Resolves when a shutdown leaves no more time for answers.
-    pub async fn answers_due(&self) {
+    /// Waits until a shutdown has begun and its time for responses is over.
+    pub async fn responses_due(&self) {
         match self.started().await {
-            Some(schedule) => sleep_until(schedule.answer_by).await,
+            Some(schedule) => sleep_until(schedule.respond_by).await,
             None => pending().await,
         }
     }
--- a/crates/balancer-agent/src/listener/slot_usage.rs
+++ b/crates/balancer-agent/src/listener/slot_usage.rs
@@ -1,31 +1,35 @@
-//! How scarce the connection slots of clients are.
+//! The usage of the slots for client connections.
 
-/// From this share of the slots on, usage is elevated. Clients count connections that they have abandoned
-/// among those that they may hold, so slots become scarce well before all are in use.
-const ELEVATED_USAGE: f64 = 0.25;
-/// From this share of the slots on, usage is high. Clients that send one request and keep the connection use
-/// up the connections that they may hold long before an idle one may be closed.
-const HIGH_USAGE: f64 = 0.5;
-/// How scarce connection slots are.
+/// The minimum fraction of slots in use at which usage is elevated. A client counts connections that it has
+/// abandoned towards the number of connections that it may hold. Slots therefore become scarce well before
+/// all of them are in use.
+const MIN_ELEVATED_USAGE_FRACTION: f64 = 0.25;
+/// The minimum fraction of slots in use at which usage is high. Clients that send one request per connection
+/// and keep the connection open reach the number of connections that they may hold long before the agent may
+/// close an idle connection.
+const MIN_HIGH_USAGE_FRACTION: f64 = 0.5;
+
+/// The level of slot usage, which decides when connections are closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotUsage {
-    /// Idle connections are kept for long.
+    /// Idle connections are closed after `MAX_IDLE_TIME`.
     Low,
-    /// Idle connections are closed as soon as clients allow it.
+    /// Idle connections are closed after [`MIN_IDLE_TIME`](super::time_limits::MIN_IDLE_TIME), the shortest
+    /// time that clients permit.
     Elevated,
-    /// In addition, each answer announces that it is the last on its connection. No request can cross such a
-    /// close.
+    /// Idle connections are closed as at elevated usage, and each response announces that its connection is
+    /// closed. The client sends no request on the connection after that, so the close cuts off no request.
     High,
 }
 
 impl SlotUsage {
-    /// The usage while `open` connections are open of at most `max_connections`.
+    /// Returns the usage while `open` of at most `max_connections` connections are open.
     pub fn of(open: usize, max_connections: usize) -> Self {
         let open = open as f64;
         let slots = max_connections as f64;
-        if open >= HIGH_USAGE * slots {
+        if open >= MIN_HIGH_USAGE_FRACTION * slots {
             SlotUsage::High
-        } else if open >= ELEVATED_USAGE * slots {
+        } else if open >= MIN_ELEVATED_USAGE_FRACTION * slots {
             SlotUsage::Elevated
         } else {
             SlotUsage::Low
--- a/crates/balancer-agent/src/listener/slot_usage/tests.rs
+++ b/crates/balancer-agent/src/listener/slot_usage/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when slots count as scarce.
+//! Tests of the levels of slot usage.
 
 use super::*;
 
--- a/crates/balancer-agent/src/listener/tests.rs
+++ b/crates/balancer-agent/src/listener/tests.rs
@@ -1,4 +1,4 @@
-//! One client connection: socket options that cannot be set, read timeouts, shutdown and eviction.
+//! Tests of one client connection: socket options that cannot be set, read timeouts, shutdown and eviction.
 
 use super::time_limits::{CLOSE_TIMEOUT, READ_TIMEOUT};
 use super::*;
@@ -20,16 +20,17 @@
 const REQUEST: &[u8] = b"GET /read HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: read\r\n\
     X-Timeout: 900m\r\n\r\n";
 const READINESS_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
-/// The runtime has seen bytes on its sockets after this time.
+/// The time after which the runtime has noticed bytes that were sent to its sockets.
 const SOCKET_POLL_TIME: Duration = Duration::from_millis(5);
 
+/// Wraps a Unix socket in a [`TcpStream`], on which setting a TCP option fails.
 fn tcp_stream(socket: UnixStream) -> TcpStream {
     let stream = std::net::TcpStream::from(OwnedFd::from(socket));
     stream.set_nonblocking(true).expect("a non-blocking socket");
     TcpStream::from_std(stream).expect("a stream")
 }
 
-/// Both ends of a connection that has no TCP options, so that setting one fails.
+/// The two ends of a connection on which setting a TCP option fails.
 struct SocketPair {
     agent_end: TcpStream,
     client_end: TcpStream,
@@ -38,13 +39,13 @@
 impl SocketPair {
     fn without_tcp_options() -> Self {
         let (agent_end, client_end) = UnixStream::pair().expect("a pair");
-        let probe = tcp_stream(agent_end.try_clone().expect("a clone"));
-        assert!(probe.set_nodelay(true).is_err());
+        let duplicate = tcp_stream(agent_end.try_clone().expect("a clone"));
+        assert!(duplicate.set_nodelay(true).is_err());
         SocketPair { agent_end: tcp_stream(agent_end), client_end: tcp_stream(client_end) }
     }
 }
 
-/// A listener whose agent has the class `read` and no server.
+/// Starts a listener for an agent with the class `read` and no servers.
 fn start_listener() -> Rc<Listener> {
     let unused_address = SocketAddr::from(([127, 0, 0, 1], 0));
     let host_settings = HostSettings::from(&WireSettings::default());
@@ -61,7 +62,7 @@
     Listener::new(Driver::start(config, 10).expect("a driver"), 10, Duration::from_secs(1))
 }
 
-/// A connection that a test polls by hand.
+/// A client connection whose serving future is polled by the test, not by a task.
 struct TestConnection {
     client: TcpStream,
     table_entry: Rc<ClientConnection>,
@@ -69,7 +70,7 @@
 }
 
 impl TestConnection {
-    /// Opens a connection to the listener.
+    /// Opens a client connection to the listener.
     fn open(listener: &Rc<Listener>) -> Self {
         let SocketPair { agent_end, client_end } = SocketPair::without_tcp_options();
         let table_entry = listener.connections.open();
@@ -81,25 +82,25 @@
         self.table_entry.state().phase()
     }
 
-    /// Writes bytes at the client's end.
+    /// Writes bytes to the client's end of the connection.
     async fn send(&mut self, bytes: &[u8]) {
         self.client.write_all(bytes).await.expect("the bytes are written");
     }
 
-    /// Polls the serving once. Returns whether the connection is still open.
+    /// Polls the serving future once. Returns whether the connection is still open.
     async fn poll_once(&mut self) -> bool {
         poll_fn(|cx| Poll::Ready(self.serving.as_mut().poll(cx).is_pending())).await
     }
 
-    /// Lets time pass, in which the connection must stay open.
+    /// Polls the serving future for some time, in which the connection must stay open.
     async fn stay_open_for(&mut self, time: Duration) {
         tokio::select! {
-            () = self.serving.as_mut() => panic!("it has closed"),
+            () = self.serving.as_mut() => panic!("the connection is closed"),
             () = sleep(time) => {}
         }
     }
 
-    /// Polls the serving until the connection is in this phase.
+    /// Polls the serving future until the connection is in this phase.
     async fn reach(&mut self, phase: Phase) {
         while self.phase() != phase {
             assert!(self.poll_once().await);
@@ -108,28 +109,29 @@
     }
 }
 
+/// The agent cannot set `TCP_NODELAY` on a connection, but still responds over it.
 #[tokio::test]
-async fn a_client_is_answered_if_its_socket_options_cannot_be_set() {
+async fn a_client_gets_a_response_if_its_socket_options_cannot_be_set() {
     let scenario = async {
         let mut connection = TestConnection::open(&start_listener());
         connection.send(b"GET /ready HTTP/1.1\r\nhost: a\r\n\r\n").await;
-        let mut answer = [0; 12];
+        let mut response_start = [0; 12];
 
         tokio::select! {
             () = connection.serving.as_mut() => {}
-            read = connection.client.read_exact(&mut answer) => assert!(read.is_ok()),
+            read = connection.client.read_exact(&mut response_start) => assert!(read.is_ok()),
         }
 
-        assert_eq!(&answer, b"HTTP/1.1 503");
+        assert_eq!(&response_start, b"HTTP/1.1 503");
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// A request that arrives after the last answer, when the sending side of its connection is shut down, is
-/// neither accepted nor answered: its client retries it over another connection. If the client does not close
-/// the connection, the agent does.
+/// A request that arrives after the last response, when the agent has shut down its sending side, is neither
+/// accepted nor responded to. Its client retries it over another connection. If the client does not close the
+/// connection, the agent does.
 #[tokio::test(start_paused = true)]
-async fn a_request_after_the_last_answer_is_not_accepted() {
+async fn a_request_after_the_last_response_is_not_accepted() {
     let scenario = async {
         let mut connection = TestConnection::open(&start_listener());
         connection.send(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n").await;
@@ -140,17 +142,17 @@
         connection.serving.as_mut().await;
 
         assert!(closing_since.elapsed() <= 2 * CLOSE_TIMEOUT);
-        let mut answers = String::new();
-        // Had the agent closed with unread bytes, this would be an error.
-        connection.client.read_to_string(&mut answers).await.expect("the end of the stream");
-        assert_eq!(answers.matches("HTTP/1.1 ").count(), 1, "{answers}");
+        let mut responses = String::new();
+        // The read would fail if the agent had closed its socket with unread bytes.
+        connection.client.read_to_string(&mut responses).await.expect("the end of the stream");
+        assert_eq!(responses.matches("HTTP/1.1 ").count(), 1, "{responses}");
         assert_eq!(connection.phase(), Phase::Closing);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// A request that has been received when the shutdown is noticed is accepted before its idle connection is
-/// closed.
+/// A request is received on an idle connection just before the connection's task is notified of a shutdown.
+/// The task reads and accepts the request instead of closing the connection as idle.
 #[tokio::test]
 async fn a_request_received_before_the_shutdown_is_accepted() {
     let scenario = async {
@@ -161,18 +163,18 @@
 
         connection.send(REQUEST).await;
         let now = Instant::now();
-        let answer_by = now + Duration::from_secs(60);
-        listener.shutdown.start(ShutdownSchedule { accept_until: now, answer_by });
+        let respond_by = now + Duration::from_secs(60);
+        listener.shutdown.start(ShutdownSchedule { accept_until: now, respond_by });
         sleep(SOCKET_POLL_TIME).await;
 
-        assert!(connection.poll_once().await, "it has closed");
+        assert!(connection.poll_once().await, "the connection is closed");
         assert_eq!(connection.phase(), Phase::Processing);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// The read timeout of a connection's first request, which counts from the accept, does not apply to a later
-/// request that begins shortly before it would expire.
+/// The read timeout of a connection's first request counts from the accept. It does not apply to a later
+/// request, even if that request begins shortly before this timeout would expire.
 #[tokio::test(start_paused = true)]
 async fn a_later_request_has_a_read_timeout_of_its_own() {
     let scenario = async {
@@ -191,8 +193,8 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// The eviction of a silent connection is requested, and its first request has been received by the time its
-/// task runs.
+/// The eviction of a silent connection is requested, and the first request is received before the
+/// connection's task runs. The task then ignores the eviction.
 #[tokio::test]
 async fn a_connection_that_receives_a_request_before_its_eviction_stays_open() {
     let scenario = async {
@@ -203,7 +205,7 @@
         connection.table_entry.evict();
         sleep(SOCKET_POLL_TIME).await;
 
-        assert!(connection.poll_once().await, "it has closed");
+        assert!(connection.poll_once().await, "the connection is closed");
         assert_eq!(connection.phase(), Phase::Processing);
     };
     LocalSet::new().run_until(scenario).await;
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -6,36 +6,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection that has sent nothing for this long may be evicted when all slots are in use: clients connect
-/// when they have a request to send.
+/// How long a connection must have been silent before it may be evicted when all slots are in use. Clients
+/// connect when they have a request to send, so the first byte follows soon.
 pub const MIN_SILENT_TIME: Duration = Duration::from_millis(100);
-/// How long a connection must have been idle before it may be closed. Clients are promised 2 s (TERMS page,
+/// How long a connection must have been idle before it may be closed. Clients are guaranteed 2 s (TERMS page,
 /// "Requests and connections").
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(2_050);
-/// A request must be received completely within this time of its first byte, and a connection's first request
-/// within this time of the accept. Connections that send nothing or half a request hold slots that others
-/// need; each must be answered or closed within 3 s (TERMS page, "Peers"). See
-/// docs/findings/late-request-cut-off.md for why later requests are timed on their own.
+/// The time within which a request must be received completely. It counts from the accept for the first
+/// request of a connection, and from the first byte of the request for later ones; see
+/// docs/findings/late-request-cut-off.md for the reason. Connections without a complete request occupy slots
+/// that other clients need. The agent must respond on such a connection or close it within 3 s (TERMS page,
+/// "Peers").
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// How long a connection may be idle while slot usage is low.
+/// How long a connection may be idle at low slot usage.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
-/// How long a connection waits for its client to close it after the last answer (docs/findings/closes.md).
+/// How long the agent waits after the last response for the client to close the connection
+/// (docs/findings/closes.md).
 pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The time limits of one connection.
 pub struct TimeLimits {
     accepted_at: Instant,
-    longest_deadline: Duration,
+    longest_timeout: Duration,
 }
 
 impl TimeLimits {
-    /// The limits of a connection that is accepted now. `longest_deadline` is the longest that a client waits
-    /// for an answer.
-    pub fn starting_now(longest_deadline: Duration) -> Self {
-        TimeLimits { accepted_at: Instant::now(), longest_deadline }
+    /// Creates the limits of a connection that is accepted now. `longest_timeout` is the longest that a
+    /// client waits for a response.
+    pub fn starting_now(longest_timeout: Duration) -> Self {
+        TimeLimits { accepted_at: Instant::now(), longest_timeout }
     }
 
-    /// Until when the connection may stay in its phase; `None` if the phase ends by itself.
+    /// Returns until when the connection may stay in its phase, or `None` if the phase ends by itself.
     pub fn current(
         &self,
         state: &ConnectionState,
@@ -45,20 +47,21 @@
         let since = state.phase_since();
         match state.phase() {
             Phase::Silent => Some(self.silent_limit(shutdown)),
-            Phase::Receiving if state.has_answered() => Some(since + READ_TIMEOUT),
-            // The first request's time counts from the accept.
+            Phase::Receiving if state.has_sent_response() => Some(since + READ_TIMEOUT),
+            // The read timeout of the first request counts from the accept.
             Phase::Receiving => Some(self.accepted_at + READ_TIMEOUT),
-            // The request handler answers by the request's deadline.
+            // The request handler responds shortly after the request's deadline at the latest.
             Phase::Processing => None,
-            // No client waits for an answer longer than this.
-            Phase::Answering => Some(since + self.longest_deadline.max(MIN_IDLE_TIME)),
+            // No client waits longer than this for a response.
+            Phase::Responding => Some(since + self.longest_timeout.max(MIN_IDLE_TIME)),
             Phase::Idle => Some(since + max_idle_time(usage)),
             Phase::Closing => Some(since + CLOSE_TIMEOUT),
         }
     }
 
-    /// The limit before the first byte. During a shutdown a silent connection is closed when accepting ends,
-    /// but not before it has had [`MIN_SILENT_TIME`] for its first request.
+    /// Returns when the connection is closed if no byte has been received by then. During a shutdown this is
+    /// the time until which connections are accepted, but at least [`MIN_SILENT_TIME`] after the accept of
+    /// this connection.
     fn silent_limit(&self, shutdown: Option<ShutdownSchedule>) -> Instant {
         let limit = self.accepted_at + READ_TIMEOUT;
         let Some(schedule) = shutdown else { return limit };
@@ -67,6 +70,7 @@
     }
 }
 
+/// Returns how long a connection may be idle at this slot usage.
 fn max_idle_time(usage: SlotUsage) -> Duration {
     match usage {
         SlotUsage::Low => MAX_IDLE_TIME,
--- a/crates/balancer-agent/src/listener/validation.rs
+++ b/crates/balancer-agent/src/listener/validation.rs
@@ -1,4 +1,5 @@
-//! Validates a client's request and converts it (PROTOCOL page, "The application to its agent").
+//! Validates a client's request and converts it to a [`ClientRequest`] (PROTOCOL page, "The application to
+//! its agent").
 
 use super::invalid_request::InvalidRequest;
 use super::time_limits::READ_TIMEOUT;
@@ -18,36 +19,36 @@
 use tokio::time::{timeout, Instant};
 
 /// The header with a request's id.
-pub const REQUEST_ID: &str = "x-request-id";
-/// The header with a request's class.
-const CLASS: &str = "x-priority-class";
-/// The header with the tenant that sends a request.
-const TENANT: &str = "x-tenant-id";
-/// The header with the time that the client waits for the answer.
-const TIMEOUT: &str = "x-timeout";
-/// The header with a client's guess at a request's work, in microseconds.
-const COST: &str = "x-cost";
-/// The header that is `1` for a client's retry.
-const CLIENT_RETRY: &str = "x-retried";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
+/// The header with the name of a request's class.
+const CLASS_HEADER: &str = "x-priority-class";
+/// The header with the name of the tenant that sends a request.
+const TENANT_HEADER: &str = "x-tenant-id";
+/// The header with a request's timeout: how long the client waits for the response.
+const TIMEOUT_HEADER: &str = "x-timeout";
+/// The header with the client's estimate of a request's work, in microseconds.
+const COST_HEADER: &str = "x-cost";
+/// The header whose value is `1` if the request is a client's retry.
+const CLIENT_RETRY_HEADER: &str = "x-retried";
 /// The header with a request's idempotency key.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// How the query parameter with the key of a request's object begins.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// The prefix of the query parameter with a request's routing key.
 const ROUTING_KEY_PREFIX: &str = "key=";
-/// The size limit of a request's id, in bytes.
+/// The maximum length of a request's id, in bytes.
 const MAX_ID_BYTES: usize = 256;
-/// The part of a client's timeout that is reserved for writing the answer, unless that is more than the
-/// timeout divided by [`ANSWER_WRITE_DIVISOR`].
-const ANSWER_WRITE_TIME: Duration = Duration::from_millis(6);
-/// Bounds the part of a short timeout that is reserved for writing the answer: a quarter of it.
-const ANSWER_WRITE_DIVISOR: u32 = 4;
-/// The longest timeout that a request may have.
+/// The part of a client's timeout that is reserved for writing the response. The reserved part is smaller if
+/// the timeout is short; see [`RESPONSE_WRITE_DIVISOR`].
+const RESPONSE_WRITE_TIME: Duration = Duration::from_millis(6);
+/// At most the timeout divided by this number is reserved for writing the response.
+const RESPONSE_WRITE_DIVISOR: u32 = 4;
+/// The maximum timeout of a request.
 const MAX_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Reads a request completely and validates it.
+/// Reads a client's request completely and validates it.
 ///
 /// # Errors
 ///
-/// The first fault that is found.
+/// The first reason for which the request is found to be invalid.
 pub async fn read_request(
     request: Request<Incoming>,
     driver: &Driver,
@@ -65,8 +66,8 @@
         tenant,
         routing_key: routing_key_of(&head),
         cost_hint: cost_hint_of(&head),
-        is_client_retry: header_text(&head.headers, CLIENT_RETRY) == Some("1"),
-        deadline: Instant::now() + time_for_answer(client_timeout),
+        is_client_retry: header_text(&head.headers, CLIENT_RETRY_HEADER) == Some("1"),
+        deadline: Instant::now() + time_for_response(client_timeout),
         headers: forwarded_headers(&head.headers),
         method: head.method,
         uri: head.uri,
@@ -74,61 +75,63 @@
     })
 }
 
-/// The class, which both the path and a header name.
+/// Returns the request's class. The path and the class header must name the same class.
 fn class_of(head: &Parts, class_names: &[String]) -> Result<ClassId, InvalidRequest> {
     let path = head.uri.path().trim_start_matches('/');
     let name = path.split('/').next().unwrap_or_default();
     let index = class_names.iter().position(|known| known == name).ok_or(InvalidRequest::UnknownClass)?;
-    if header_text(&head.headers, CLASS) != Some(name) {
+    if header_text(&head.headers, CLASS_HEADER) != Some(name) {
         return Err(InvalidRequest::ClassMismatch);
     }
     Ok(ClassId(index))
 }
 
+/// Checks that the request has an id of a valid length.
 fn check_request_id(head: &Parts) -> Result<(), InvalidRequest> {
-    let id = header_text(&head.headers, REQUEST_ID).unwrap_or_default();
+    let id = header_text(&head.headers, REQUEST_ID_HEADER).unwrap_or_default();
     if id.is_empty() || id.len() > MAX_ID_BYTES {
         return Err(InvalidRequest::BadRequestId);
     }
     Ok(())
 }
 
-/// The tenant that a header names; `None` if the settings have no tenants.
+/// Returns the tenant that the tenant header names, or `None` if the settings have no tenants.
 fn tenant_of(head: &Parts, tenant_names: &[String]) -> Result<Option<TenantId>, InvalidRequest> {
     if tenant_names.is_empty() {
         return Ok(None);
     }
-    let name = header_text(&head.headers, TENANT).ok_or(InvalidRequest::UnknownTenant)?;
+    let name = header_text(&head.headers, TENANT_HEADER).ok_or(InvalidRequest::UnknownTenant)?;
     let index = tenant_names.iter().position(|known| known == name).ok_or(InvalidRequest::UnknownTenant)?;
     Ok(Some(TenantId(index)))
 }
 
-/// How long the client waits for the answer.
+/// Returns the request's timeout.
 fn timeout_of(head: &Parts) -> Result<Duration, InvalidRequest> {
-    let text = header_text(&head.headers, TIMEOUT);
+    let text = header_text(&head.headers, TIMEOUT_HEADER);
     text.and_then(parse_timeout).ok_or(InvalidRequest::BadTimeout)
 }
 
-/// How long after a request its answer must be decided, so that it is written by the client's timeout.
-fn time_for_answer(client_timeout: Duration) -> Duration {
-    let write_time = ANSWER_WRITE_TIME.min(client_timeout / ANSWER_WRITE_DIVISOR);
+/// Returns how long after the receipt of a request its final response must be known, so that the response is
+/// written within the client's timeout.
+fn time_for_response(client_timeout: Duration) -> Duration {
+    let write_time = RESPONSE_WRITE_TIME.min(client_timeout / RESPONSE_WRITE_DIVISOR);
     client_timeout.saturating_sub(write_time)
 }
 
-/// Checks the method and the idempotency key, which depend on the effect of a request's class.
+/// Checks the method and the idempotency key, which the effect of the request's class determines.
 fn check_effect(effect: Effect, head: &Parts) -> Result<(), InvalidRequest> {
     let allowed = if effect == Effect::Idempotent { "GET" } else { "POST" };
     if head.method != allowed {
         return Err(InvalidRequest::WrongMethod { allowed });
     }
-    let has_key = head.headers.get(IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
+    let has_key = head.headers.get(IDEMPOTENCY_KEY_HEADER).is_some_and(|key| !key.is_empty());
     if matches!(effect, Effect::Deduplicated { .. }) && !has_key {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
     Ok(())
 }
 
-/// Reads a body completely, within [`READ_TIMEOUT`].
+/// Reads a request's body completely, within [`READ_TIMEOUT`].
 async fn read_body(body: Incoming) -> Result<Bytes, InvalidRequest> {
     if body.size_hint().lower() > MAX_BODY as u64 {
         return Err(InvalidRequest::BodyTooLarge);
@@ -141,16 +144,17 @@
     }
 }
 
-/// The object that the request concerns, if its query names one.
+/// Returns the routing key, or `None` if the request's query has none.
 fn routing_key_of(head: &Parts) -> Option<RoutingKey> {
     let query = head.uri.query()?;
     let key = query.split('&').find_map(|parameter| parameter.strip_prefix(ROUTING_KEY_PREFIX))?;
     Some(RoutingKey(hash_name(key)))
 }
 
-/// The client's guess at the request's work, if it is a positive number.
+/// Returns the client's estimate of the request's work, or `None` if the header is missing or its value is
+/// not a positive number.
 fn cost_hint_of(head: &Parts) -> Option<Span> {
-    let text = header_text(&head.headers, COST)?;
+    let text = header_text(&head.headers, COST_HEADER)?;
     let micros = text.parse::<f64>().ok()?;
     if micros <= 0.0 || !micros.is_finite() {
         return None;
@@ -158,12 +162,13 @@
     Some(Span::from_millis_f64(micros / 1e3))
 }
 
-/// A header's value, if it is text.
+/// Returns the value of a header, or `None` if the header is missing or its value is not ASCII text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Parses a timeout such as `480m` (milliseconds) or `900u` (microseconds).
+/// Parses a timeout such as `480m` (milliseconds) or `900u` (microseconds). Returns `None` if the text has
+/// another form, or if the timeout is zero or above [`MAX_TIMEOUT`].
 fn parse_timeout(text: &str) -> Option<Duration> {
     let unit_start = text.len().checked_sub(1)?;
     let (number, unit) = text.split_at_checked(unit_start)?;
--- a/crates/balancer-agent/src/listener/validation/tests.rs
+++ b/crates/balancer-agent/src/listener/validation/tests.rs
@@ -1,4 +1,4 @@
-//! Parsing of client timeouts.
+//! Tests of the parsing of client timeouts.
 
 use super::*;
 
