--- a/crates/balancer-agent/src/framing/connection_state.rs
+++ b/crates/balancer-agent/src/framing/connection_state.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Records that a request has been received completely. This changes nothing if the response was sent
+    /// Records that a request has been received completely. This changes nothing if the response was known
     /// before the end of the request was received.
     pub fn record_request_complete(&self) {
         if self.phase.get() == Phase::Receiving {
--- a/crates/balancer-agent/src/framing/parser.rs
+++ b/crates/balancer-agent/src/framing/parser.rs
@@ -10,7 +10,7 @@
 pub enum Head {
     /// More bytes are needed.
     Partial,
-    /// The bytes are not the head of an HTTP/1.1 request.
+    /// The bytes are not a valid request head.
     Invalid,
     /// The body's length is ambiguous: the headers state it more than once, or in a form that is not
     /// supported.
@@ -37,7 +37,7 @@
 pub enum ChunkHeader {
     /// More bytes are needed.
     Partial,
-    /// The bytes are not a chunk header.
+    /// The bytes are not a valid chunk header, or invalid trailers follow the header of the last chunk.
     Invalid,
     /// A chunk follows. The value is the length of the chunk header, the chunk's data and the line end after
     /// the data.
--- a/crates/balancer-agent/src/listener/acceptor.rs
+++ b/crates/balancer-agent/src/listener/acceptor.rs
@@ -5,8 +5,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The delay before the retry of a failed accept. Without it, the loop would spin while no file descriptor
-/// is free.
+/// The delay before the retry of a failed accept. Without the delay, the loop would spin while no file
+/// descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The kernel's accept queue counts as empty once no connection has been accepted for this long.
 const EMPTY_QUEUE_TIME: Duration = Duration::from_millis(20);
--- a/crates/balancer-agent/src/listener/client_connection.rs
+++ b/crates/balancer-agent/src/listener/client_connection.rs
@@ -42,7 +42,7 @@
 }
 
 impl ClientConnection {
-    /// Creates the entry of a connection that has just been accepted.
+    /// Creates the entry for a connection that has just been accepted.
     pub fn new(id: ConnectionId) -> Self {
         ClientConnection { id, state: ConnectionState::new(), eviction_requested: Notify::new() }
     }
--- a/crates/balancer-agent/src/listener/shutdown.rs
+++ b/crates/balancer-agent/src/listener/shutdown.rs
@@ -7,7 +7,7 @@
 
 /// How long new connections are accepted after SIGTERM, because clients still connect for a while.
 const ACCEPT_TIME: Duration = Duration::from_millis(650);
-/// The maximum time for responses after the last connection has been accepted, also if clients wait longer.
+/// The maximum time for responses after the last connection has been accepted, even if clients wait longer.
 /// SIGKILL follows SIGTERM no sooner than after 0.7 s plus the longest class deadline (PROTOCOL page,
 /// "Figures").
 const MAX_RESPONSE_TIME: Duration = Duration::from_secs(3);
--- a/crates/balancer-agent/src/listener/slot_usage.rs
+++ b/crates/balancer-agent/src/listener/slot_usage.rs
@@ -14,8 +14,8 @@
 pub enum SlotUsage {
     /// Idle connections are closed after `MAX_IDLE_TIME`.
     Low,
-    /// Idle connections are closed after [`MIN_IDLE_TIME`](super::time_limits::MIN_IDLE_TIME), the shortest
-    /// time that clients permit.
+    /// Idle connections are closed as soon as this is permitted, after
+    /// [`MIN_IDLE_TIME`](super::time_limits::MIN_IDLE_TIME).
     Elevated,
     /// Idle connections are closed as at elevated usage, and each response announces that its connection is
     /// closed. The client sends no request on the connection after that, so the close cuts off no request.
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -1,4 +1,4 @@
-//! How long a client connection may stay in each phase.
+//! Limits on the time that a client connection may stay in each phase.
 
 use super::shutdown::ShutdownSchedule;
 use super::slot_usage::SlotUsage;
@@ -9,10 +9,10 @@
 /// How long a connection must have been silent before it may be evicted when all slots are in use. Clients
 /// connect when they have a request to send, so the first byte follows soon.
 pub const MIN_SILENT_TIME: Duration = Duration::from_millis(100);
-/// How long a connection must have been idle before it may be closed. Clients are guaranteed 2 s (TERMS page,
-/// "Requests and connections").
+/// How long a connection must have been idle before it may be closed. The agent guarantees 2 s to clients
+/// (TERMS page, "Requests and connections").
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(2_050);
-/// The time within which a request must be received completely. It counts from the accept for the first
+/// The time within which a request must be received completely. The time counts from the accept for the first
 /// request of a connection, and from the first byte of the request for later ones; see
 /// docs/findings/late-request-cut-off.md for the reason. Connections without a complete request occupy slots
 /// that other clients need. The agent must respond on such a connection or close it within 3 s (TERMS page,
--- a/crates/balancer-agent/src/main.rs
+++ b/crates/balancer-agent/src/main.rs
@@ -27,8 +27,8 @@
 
 /// The number of file descriptors that are reserved for files, discovery and the runtime.
 const RESERVED_SOCKETS: usize = 24;
-/// The fraction of the other file descriptors that client connections may use. Clients use at most a third of
-/// all descriptors for their requests (TERMS page).
+/// The fraction of the unreserved file descriptors that client connections may use. Clients use at most a
+/// third of all descriptors for their requests (TERMS page).
 const CLIENT_SOCKET_FRACTION: f64 = 0.5;
 /// The exit code of an agent that cannot start or continue.
 const EXIT_FAILURE: u8 = 2;
@@ -52,9 +52,9 @@
 
 /// The maximum numbers of file descriptors that connections may use.
 struct SocketLimits {
-    /// The maximum number for client connections.
+    /// The maximum number of descriptors for client connections.
     clients: usize,
-    /// The maximum number for connections to servers.
+    /// The maximum number of descriptors for connections to servers.
     servers: usize,
 }
 
@@ -68,7 +68,7 @@
 }
 
 fn main() -> ExitCode {
-    match start() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("balancer-agent: {error}");
@@ -77,12 +77,13 @@
     }
 }
 
+/// Returns the value of an environment variable, or `None` if it is not set or is not valid Unicode.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Loads the configuration and serves on a new runtime.
-fn start() -> Result<(), AgentError> {
+/// Loads the configuration, and serves on a new runtime until the agent shuts down.
+fn run() -> Result<(), AgentError> {
     let config = Config::load(environment_variable)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(AgentError::Runtime)?;
@@ -119,6 +120,7 @@
     Ok(())
 }
 
+/// Installs a handler for a signal. `name` is the signal's name in error messages.
 fn install_signal_handler(kind: SignalKind, name: &'static str) -> Result<Signal, AgentError> {
     signal(kind).map_err(|source| AgentError::Signal { signal: name, source })
 }
