--- a/crates/balancer-core/src/policy.rs
+++ b/crates/balancer-core/src/policy.rs
@@ -9,7 +9,6 @@
 //! The deploy file lists every file of this module under `policy`.
 
 pub mod admission;
-pub mod budget;
 pub mod concurrency;
 pub mod deadline;
 pub mod feedback;
@@ -26,5 +25,6 @@
 pub mod smoothing;
 pub mod suspicion;
 pub mod tick;
+pub mod token_bucket;
 pub mod wait_queue;
 pub mod watch;
--- a/crates/balancer-core/src/policy/deadline.rs
+++ b/crates/balancer-core/src/policy/deadline.rs
@@ -2,7 +2,7 @@
 
 mod objective;
 mod timeliness;
-mod usual_timeout;
+mod typical_timeout;
 
 pub use objective::ObjectiveDeadlines;
 pub use timeliness::{retry_after, Timeliness};
--- a/crates/balancer-core/src/policy/deadline/objective.rs
+++ b/crates/balancer-core/src/policy/deadline/objective.rs
@@ -1,6 +1,6 @@
 //! The time that a new request has left of its class's latency objective.
 
-use super::usual_timeout::TypicalTimeout;
+use super::typical_timeout::TypicalTimeout;
 use crate::{ClassId, Settings, Span};
 
 /// The typical timeouts of the request classes. A request with a different timeout is taken to be a client's
--- a/crates/balancer-core/src/policy/retry/budget.rs
+++ b/crates/balancer-core/src/policy/retry/budget.rs
@@ -1,7 +1,7 @@
 //! The budget for retries of requests that may have run.
 
-use crate::policy::budget::Budget;
 use crate::policy::fleet::FleetView;
+use crate::policy::token_bucket::Budget;
 
 /// Cost of one retry.
 const RETRY_COST: f64 = 1.0;
--- a/crates/balancer-core/src/policy/suspicion/gossip.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip about suspected servers: the message format, the choice of receivers, and the budget of bytes.
 
-use crate::policy::budget::Budget;
+use crate::policy::token_bucket::Budget;
 use crate::{PeerId, ServerId, Settings};
 
 /// Maximum number of peers that are notified of a suspected server.
