--- a/crates/balancer-agent/src/config.rs
+++ b/crates/balancer-agent/src/config.rs
@@ -171,7 +171,7 @@
         let discovery = address(DISCOVERY_VARIABLE, file.discovery)?;
         let host_settings = HostSettings::from(&file.settings);
         let settings = socket_settings(Settings::from(&file.settings), &host_settings);
-        settings.check()?;
+        settings.validate()?;
         check_class_names(&host_settings)?;
         Ok(Config {
             name: variable(NAME_VARIABLE).or(file.name).unwrap_or_else(|| DEFAULT_NAME.into()),
--- a/crates/balancer-agent/src/main.rs
+++ b/crates/balancer-agent/src/main.rs
@@ -121,9 +121,9 @@
     signal(kind).map_err(|source| AgentError::Signal { signal: name, source })
 }
 
-/// The longest deadline of all request classes.
+/// The longest timeout of all request classes.
 fn longest_deadline(settings: &Settings) -> Duration {
-    let longest = settings.classes.iter().map(|class| class.deadline).max();
+    let longest = settings.classes.iter().map(|class| class.timeout).max();
     Duration::from_micros(longest.unwrap_or_default().as_micros())
 }
 
--- a/crates/balancer-agent/tests/timeouts.rs
+++ b/crates/balancer-agent/tests/timeouts.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// A partitioned server does not respond at all. The client gets a response by its own timeout, which is far
-/// shorter than the deadline of the class, and the silent connection is not reused.
+/// shorter than the timeout of the class, and the silent connection is not reused.
 #[tokio::test]
 async fn a_request_without_a_response_fails_at_the_clients_deadline() {
     let mut server = TestServer::start(|request| match request.connection {
--- a/crates/balancer-core/src/balancer.rs
+++ b/crates/balancer-core/src/balancer.rs
@@ -9,7 +9,7 @@
 mod sending;
 
 use crate::policy::admission::AdmissionControl;
-use crate::policy::deadline::{ObjectiveDeadlines, Timeliness};
+use crate::policy::deadline::{ObjectiveTracker, Timeliness};
 use crate::policy::fleet::ServerRegistry;
 use crate::policy::latency::FleetLatency;
 use crate::policy::requests::{ActiveRequest, AttemptKey, AttemptsInFlight, EndedAttempt};
@@ -45,7 +45,7 @@
     /// The requests that have no final response yet.
     requests: BTreeMap<RequestId, ActiveRequest>,
     in_flight: AttemptsInFlight,
-    objectives: ObjectiveDeadlines,
+    objectives: ObjectiveTracker,
     admission: AdmissionControl,
     shedder: LoadShedder,
     retry_budget: RetryBudget,
@@ -59,7 +59,7 @@
     ///
     /// Returns an error if the settings are invalid; see [`SettingsError`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let class_count = settings.classes.len();
         Ok(Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -76,7 +76,7 @@
             router: Router::default(),
             requests: BTreeMap::new(),
             in_flight: AttemptsInFlight::default(),
-            objectives: ObjectiveDeadlines::new(class_count),
+            objectives: ObjectiveTracker::new(class_count),
             admission: AdmissionControl::new(settings.balancer_count),
             shedder: LoadShedder::new(class_count, settings.tenants.len()),
             retry_budget: RetryBudget::new(),
--- a/crates/balancer-core/src/balancer/endpoints.rs
+++ b/crates/balancer-core/src/balancer/endpoints.rs
@@ -38,12 +38,12 @@
 
     /// Forgets the servers that were removed a while ago and that no request or load poll refers to.
     fn forget_removed(&mut self) {
-        let removed = self.fleet.removed_long_ago(self.now);
-        if removed.is_empty() {
+        let expired = self.fleet.expired_servers(self.now);
+        if expired.is_empty() {
             return;
         }
         let referenced = self.referenced_servers();
-        for server in removed.into_iter().filter(|server| !referenced.contains(server)) {
+        for server in expired.into_iter().filter(|server| !referenced.contains(server)) {
             self.fleet.forget(server);
             self.router.forget_with_keys(server);
         }
@@ -65,7 +65,7 @@
         let serving = self.fleet.serving_states();
         let shares: Vec<CapacityShare> = serving.map(|server| share_of(&server.endpoint)).collect();
         self.slow_start.count_warm_servers(&shares);
-        self.admission.follow_capacity(shares.iter().map(|share| share.value()).sum());
+        self.admission.update_capacity(shares.iter().map(|share| share.value()).sum());
     }
 
     /// Recomputes whether the view of the fleet is dense or sparse, and notifies the components whose
--- a/crates/balancer-core/src/balancer/feedback.rs
+++ b/crates/balancer-core/src/balancer/feedback.rs
@@ -1,10 +1,10 @@
 //! Updates the estimates of all components when an attempt ends.
 
 use super::Balancer;
-use crate::policy::concurrency::{min_limit, AnswerSample, LATE_RATIO};
+use crate::policy::concurrency::{min_limit, LatencySample, LATE_RATIO};
 use crate::policy::feedback::{observed_ratio, NO_LOAD};
 use crate::policy::fleet::FleetView;
-use crate::policy::outlier::{find_outlier, is_relatively_slow, judge_probe, AttemptResult};
+use crate::policy::outlier::{evaluate_probe, find_outlier, is_relatively_slow, AttemptResult};
 use crate::policy::requests::{EndedAttempt, InFlightAttempt};
 use crate::policy::slow_start::capacity_share;
 use crate::units::LatencyRatio;
@@ -27,7 +27,7 @@
         let result = AttemptResult { outcome: ended.outcome, ratio };
         if attempt.is_probe {
             let median = self.latency.median_ratio();
-            judge_probe(&mut self.fleet[attempt.server], result, median, self.now);
+            evaluate_probe(&mut self.fleet[attempt.server], result, median, self.now);
             return;
         }
         self.forget_if_slow(attempt, ratio);
@@ -53,10 +53,13 @@
         let share = capacity_share(&self.settings, &server.endpoint, self.now);
         self.slow_start.record_latency(share, ratio);
         self.latency.record_sample(server.endpoint.machine_kind, ratio, &mut server.latency);
-        let sample =
-            AnswerSample { ratio, smoothed_ratio: server.latency.ratio(), other_in_flight: server.in_flight };
+        let sample = LatencySample {
+            ratio,
+            smoothed_ratio: server.latency.ratio(),
+            other_in_flight: server.in_flight,
+        };
         server.limit.record(&sample, min_limit(&self.settings));
-        server.limit.complete(self.now, ended.elapsed);
+        server.limit.record_attempt_end(self.now, ended.elapsed);
         if ended.outcome == Outcome::Rejected {
             let objective = self.settings.class(attempt.class).latency_objective;
             server.limit.back_off(self.now, objective, self.latency.typical_ratio(attempt.class));
--- a/crates/balancer-core/src/balancer/polling.rs
+++ b/crates/balancer-core/src/balancer/polling.rs
@@ -22,7 +22,7 @@
             let server = self.fleet[candidate].endpoint.server;
             self.actions.push(Action::CheckHealth { server });
         }
-        self.actions.push(Action::SetTimer { at: poll.answer_by(), timer: TimerId::LoadPollTimeout });
+        self.actions.push(Action::SetTimer { at: poll.deadline(), timer: TimerId::LoadPollTimeout });
     }
 
     /// Sends the requests whose candidates have all reported or whose poll has timed out.
@@ -35,7 +35,7 @@
     /// Sends a request to the least loaded of the candidates that have reported, or of all candidates if none
     /// has. Queues the request if none of them is eligible any more.
     fn finish_poll(&mut self, poll: &LoadPoll) {
-        let mut candidates = poll.best_candidates(&self.fleet);
+        let mut candidates = poll.usable_candidates(&self.fleet);
         let selector = self.server_selector();
         let Some(request) = selector.routing_request(poll.request()) else { return };
         candidates.retain(|&server| selector.is_eligible(server, &request));
--- a/crates/balancer-core/src/balancer/requests.rs
+++ b/crates/balancer-core/src/balancer/requests.rs
@@ -20,8 +20,8 @@
             return;
         }
         let active = self.create_active_request(request);
-        let shed_order = self.shedder.order_of(&active);
-        let is_too_late = self.timeliness().cannot_be_in_time(&active);
+        let shed_order = self.shedder.shed_order(&active);
+        let is_too_late = self.timeliness().is_too_late(&active);
         self.requests.insert(id, active);
         self.suspicion.earn_gossip();
         self.retry_budget.earn();
@@ -65,7 +65,7 @@
             self.record_load_report(attempt.server, report);
         }
         self.record_attempt_end(&attempt, ended);
-        self.close_unneeded_connections(attempt.server);
+        self.close_idle_connections(attempt.server);
         let request = ended.key.request;
         if ended.is_request_finished {
             self.requests.remove(&request);
@@ -118,7 +118,7 @@
         }
         let mut queued = self.queue.take_by_rank(|id| {
             let active = self.requests.get(&id)?;
-            Some((active.is_over_share, self.shedder.class_order(active.class())))
+            Some((active.is_over_share, self.shedder.class_shed_order(active.class())))
         });
         queued.retain(|&id| self.process_queued(id));
         self.queue.restore(queued);
--- a/crates/balancer-core/src/balancer/sending.rs
+++ b/crates/balancer-core/src/balancer/sending.rs
@@ -21,12 +21,12 @@
     /// finished.
     pub(super) fn routing_request(&self, id: RequestId) -> Option<RoutingRequest> {
         let active = self.requests.get(&id)?;
-        Some(self.router.describe(&self.context, active))
+        Some(self.router.routing_request(&self.context, active))
     }
 
     /// Returns whether this request may be sent to the server now.
     pub(super) fn is_eligible(&self, server: ServerIndex, request: &RoutingRequest) -> bool {
-        self.context.is_open(server, request)
+        self.context.is_eligible(server, request)
     }
 
     /// Draws the candidate servers for a request. The result is empty if no server is eligible.
@@ -36,7 +36,7 @@
 
     /// Returns the least loaded candidate, or `None` if there are no candidates.
     fn least_loaded(&mut self, request: &RoutingRequest, candidates: &[ServerIndex]) -> Option<ServerIndex> {
-        self.router.lightest(&self.context, request, candidates, self.rng)
+        self.router.least_loaded(&self.context, request, candidates, self.rng)
     }
 }
 
@@ -79,7 +79,7 @@
     ) -> bool {
         let Some(server) = self.server_selector().least_loaded(request, candidates) else { return false };
         for displaced in self.router.remember(server, request, self.fleet.view()) {
-            self.close_unneeded_connections(displaced);
+            self.close_idle_connections(displaced);
         }
         self.send(request, server);
         true
@@ -92,7 +92,7 @@
         let server = &mut self.fleet[index];
         server.in_flight += 1;
         server.reported_load.record_send();
-        let is_probe = server.health.start_request();
+        let is_probe = server.health.record_send();
         let attempt = AttemptNumber(active.attempts.len() as u32);
         active.attempts.push(Attempt {
             server: index,
@@ -125,8 +125,8 @@
     }
 
     /// Closes the idle connections to a server if the router no longer needs them.
-    pub(super) fn close_unneeded_connections(&mut self, index: ServerIndex) {
-        if self.router.releases_connections(&self.fleet, index) {
+    pub(super) fn close_idle_connections(&mut self, index: ServerIndex) {
+        if self.router.should_close_idle_connections(&self.fleet, index) {
             let server = self.fleet[index].endpoint.server;
             self.actions.push(Action::CloseIdle { server });
         }
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! let class = RequestClass {
 //!     latency_objective: Span::from_millis(100),
-//!     deadline: Span::from_millis(400),
+//!     timeout: Span::from_millis(400),
 //!     ..RequestClass::default()
 //! };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -100,7 +100,7 @@
     /// the fleet has shrunk before any server is slow, and a fleet that warms up can serve more
     /// (docs/findings/fleet-join.md). A capacity of zero, from an empty endpoint list, is ignored, because
     /// it does not predict the capacity of the next list.
-    pub fn follow_capacity(&mut self, capacity: f64) {
+    pub fn update_capacity(&mut self, capacity: f64) {
         if capacity <= 0.0 {
             return;
         }
--- a/crates/balancer-core/src/policy/admission/tests.rs
+++ b/crates/balancer-core/src/policy/admission/tests.rs
@@ -63,8 +63,8 @@
     let mut dense = AdmissionControl::new(10);
     let mut sparse = sparse_control();
     for admission in [&mut dense, &mut sparse] {
-        admission.follow_capacity(10.0);
-        admission.follow_capacity(5.0);
+        admission.update_capacity(10.0);
+        admission.update_capacity(5.0);
     }
 
     assert_eq!(dense.probability().value(), 1.0);
@@ -74,10 +74,10 @@
 #[test]
 fn capacity_of_an_empty_list_is_ignored() {
     let mut admission = sparse_control();
-    admission.follow_capacity(10.0);
+    admission.update_capacity(10.0);
 
-    admission.follow_capacity(0.0);
-    admission.follow_capacity(10.0);
+    admission.update_capacity(0.0);
+    admission.update_capacity(10.0);
 
     assert_eq!(admission.probability().value(), 1.0);
 }
@@ -85,8 +85,8 @@
 #[test]
 fn classes_that_are_shed_first_keep_half_of_the_probability() {
     let mut admission = sparse_control();
-    admission.follow_capacity(10.0);
-    admission.follow_capacity(5.0);
+    admission.update_capacity(10.0);
+    admission.update_capacity(5.0);
 
     assert_close(admission.probability_for(ShedOrder::First, 0.5), 0.25);
     assert_close(admission.probability_for(ShedOrder::Last, 0.5), 0.75);
@@ -101,8 +101,8 @@
     shedder.count(Time::EPOCH, &Request::new(RequestId(1), ClassId(0), Span::from_millis(100)));
     shedder.rank_classes(&settings, &FleetLatency::new(1));
     let mut admission = sparse_control();
-    admission.follow_capacity(10.0);
-    admission.follow_capacity(5.0);
+    admission.update_capacity(10.0);
+    admission.update_capacity(5.0);
     admission.set_view(view);
     let mut rng = fastrand::Rng::with_seed(1);
     (0..1000).filter(|_| admission.admits(ShedOrder::First, &shedder, &mut rng)).count()
--- a/crates/balancer-core/src/policy/concurrency.rs
+++ b/crates/balancer-core/src/policy/concurrency.rs
@@ -31,7 +31,7 @@
 }
 
 /// The latency of an ended attempt, and the state of its server at that moment.
-pub struct AnswerSample {
+pub struct LatencySample {
     /// Latency ratio of the attempt.
     pub ratio: LatencyRatio,
     /// Smoothed latency ratio of the server, this attempt included.
@@ -77,7 +77,7 @@
     /// otherwise make the limit too low. A late attempt or a rejection by a full server is certain evidence
     /// of overload and reduces the limit at once. The limit grows only while it is fully used: limits that
     /// grew at low load would let the next burst overload the fleet (docs/findings/case6480.md).
-    pub fn record(&mut self, sample: &AnswerSample, min_limit: f64) {
+    pub fn record(&mut self, sample: &LatencySample, min_limit: f64) {
         let overshoot = (sample.smoothed_ratio.value() / TARGET_RATIO.value() - 1.0).min(MAX_OVERSHOOT);
         let is_late = sample.ratio >= LATE_RATIO;
         let factor = if is_late { LATE_FACTOR } else { 1.0 - DECREASE_FRACTION * overshoot.max(0.0) };
@@ -89,7 +89,7 @@
     }
 
     /// Records that an attempt has ended now, after `latency`.
-    pub fn complete(&mut self, now: Time, latency: Span) {
+    pub fn record_attempt_end(&mut self, now: Time, latency: Span) {
         self.last_attempt_ended_at = now;
         self.last_latency_ms = latency.as_millis_f64();
     }
--- a/crates/balancer-core/src/policy/concurrency/tests.rs
+++ b/crates/balancer-core/src/policy/concurrency/tests.rs
@@ -11,9 +11,9 @@
     LimitScale { admission: Probability::new(admission), capacity_share: CapacityShare::new(capacity_share) }
 }
 
-fn sample(ratio: f64, other_in_flight: u32) -> AnswerSample {
+fn sample(ratio: f64, other_in_flight: u32) -> LatencySample {
     let ratio = LatencyRatio::new(ratio);
-    AnswerSample { ratio, smoothed_ratio: ratio, other_in_flight }
+    LatencySample { ratio, smoothed_ratio: ratio, other_in_flight }
 }
 
 /// Whether a limit that is not scaled down allows one more request while `in_flight` others are in flight.
@@ -58,7 +58,7 @@
         let mut limit = ConcurrencyLimit::new(NOW);
 
         record_late_responses(&mut limit, 1000, min_limit);
-        limit.complete(NOW, OBJECTIVE);
+        limit.record_attempt_end(NOW, OBJECTIVE);
 
         // A limit below one is enforced by a delay after each response.
         let delay_ms = OBJECTIVE.as_millis_f64() * (1.0 / min_limit - 1.0);
--- a/crates/balancer-core/src/policy/deadline.rs
+++ b/crates/balancer-core/src/policy/deadline.rs
@@ -4,5 +4,5 @@
 mod timeliness;
 mod typical_timeout;
 
-pub use objective::ObjectiveDeadlines;
+pub use objective::ObjectiveTracker;
 pub use timeliness::{retry_after, Timeliness};
--- a/crates/balancer-core/src/policy/deadline/objective.rs
+++ b/crates/balancer-core/src/policy/deadline/objective.rs
@@ -5,15 +5,15 @@
 
 /// The typical timeouts of the request classes. A request with a different timeout is taken to be a client's
 /// own retry, which has already used some of its latency objective.
-pub struct ObjectiveDeadlines {
+pub struct ObjectiveTracker {
     /// The typical timeout of each class, by class id.
     typical_timeouts: Vec<TypicalTimeout>,
 }
 
-impl ObjectiveDeadlines {
+impl ObjectiveTracker {
     /// Creates the state before any request has arrived, for this number of classes.
     pub fn new(class_count: usize) -> Self {
-        ObjectiveDeadlines { typical_timeouts: vec![TypicalTimeout::default(); class_count] }
+        ObjectiveTracker { typical_timeouts: vec![TypicalTimeout::default(); class_count] }
     }
 
     /// Returns what is left of the class's latency objective for a new request whose deadline is `time_left`
@@ -22,7 +22,7 @@
         let is_first_attempt =
             self.typical_timeouts[class.0].detect_first_attempt(time_left, settings.event_interval);
         let class = settings.class(class);
-        let used = if is_first_attempt { Span::ZERO } else { class.deadline.saturating_sub(time_left) };
+        let used = if is_first_attempt { Span::ZERO } else { class.timeout.saturating_sub(time_left) };
         class.latency_objective.saturating_sub(used)
     }
 }
--- a/crates/balancer-core/src/policy/deadline/timeliness.rs
+++ b/crates/balancer-core/src/policy/deadline/timeliness.rs
@@ -26,7 +26,7 @@
 
 impl Timeliness<'_> {
     /// Whether a response would come too late to have any value if the request were sent now.
-    pub fn cannot_be_in_time(&self, active: &ActiveRequest) -> bool {
+    pub fn is_too_late(&self, active: &ActiveRequest) -> bool {
         let class = self.settings.class(active.class());
         let typical_ratio = self.latency.typical_ratio(active.class()).value();
         let last_useful = if class.late_value > 0.0 { active.deadline } else { active.objective_deadline };
@@ -38,7 +38,7 @@
         let objective = self.settings.class(active.class()).latency_objective;
         let current_ratio = self.latency.current_ratio(active.class()).value();
         let margin = (QUEUE_MARGIN_FACTOR * current_ratio).min(MAX_QUEUE_MARGIN_FRACTION);
-        self.cannot_be_in_time(active) || self.now + objective * margin >= active.objective_deadline
+        self.is_too_late(active) || self.now + objective * margin >= active.objective_deadline
     }
 }
 
--- a/crates/balancer-core/src/policy/deadline/timeliness/tests.rs
+++ b/crates/balancer-core/src/policy/deadline/timeliness/tests.rs
@@ -9,7 +9,7 @@
 fn settings(late_value: f64) -> Settings {
     let class = RequestClass {
         latency_objective: Span::from_millis(100),
-        deadline: Span::from_millis(400),
+        timeout: Span::from_millis(400),
         late_value,
         ..RequestClass::default()
     };
@@ -38,15 +38,15 @@
 fn seven_tenths_of_the_typical_latency_must_be_left_of_the_objective() {
     let settings = settings(0.0);
     with_timeliness(&settings, |timeliness| {
-        assert!(timeliness.cannot_be_in_time(&active_request(14)));
-        assert!(!timeliness.cannot_be_in_time(&active_request(15)));
+        assert!(timeliness.is_too_late(&active_request(14)));
+        assert!(!timeliness.is_too_late(&active_request(15)));
     });
 }
 
 #[test]
 fn the_deadline_counts_where_late_responses_have_a_value() {
     let settings = settings(0.5);
-    with_timeliness(&settings, |timeliness| assert!(!timeliness.cannot_be_in_time(&active_request(0))));
+    with_timeliness(&settings, |timeliness| assert!(!timeliness.is_too_late(&active_request(0))));
 }
 
 #[test]
--- a/crates/balancer-core/src/policy/deadline/typical_timeout.rs
+++ b/crates/balancer-core/src/policy/deadline/typical_timeout.rs
@@ -9,7 +9,7 @@
 /// The timeout of most requests of a class, found by a majority vote over the requests so far.
 ///
 /// All first attempts of a class have the same timeout. Any other timeout is what the earlier attempts of a
-/// client have left of the class's deadline.
+/// client have left of the class's timeout.
 #[derive(Clone, Copy, Default)]
 pub struct TypicalTimeout {
     timeout: Span,
--- a/crates/balancer-core/src/policy/fleet/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -124,7 +124,7 @@
     }
 
     /// The servers that were removed at least [`REMOVED_RETENTION`] ago and have no own attempt in flight.
-    pub fn removed_long_ago(&self, now: Time) -> Vec<ServerIndex> {
+    pub fn expired_servers(&self, now: Time) -> Vec<ServerIndex> {
         let is_expired = |server: &ServerState| {
             server.removed_at.is_some_and(|at| now.since(at) >= REMOVED_RETENTION) && server.in_flight == 0
         };
--- a/crates/balancer-core/src/policy/fleet/registry/tests.rs
+++ b/crates/balancer-core/src/policy/fleet/registry/tests.rs
@@ -77,11 +77,11 @@
 
     assert_eq!(registry.update(NOW, vec![restarted.clone()], false), [index]);
     assert_eq!(registry[index].in_flight, 3);
-    assert_eq!(registry[index].health.failures(), 0);
+    assert_eq!(registry[index].health.consecutive_failures(), 0);
 
     record_two_failures(&mut registry, index);
     assert_eq!(registry.update(NOW, vec![restarted], false), [], "the same process as before");
-    assert_eq!(registry[index].health.failures(), 2);
+    assert_eq!(registry[index].health.consecutive_failures(), 2);
 }
 
 #[test]
@@ -91,11 +91,11 @@
     registry.update(NOW, Vec::new(), true);
     let retained_until = NOW + Span::from_millis(10_000);
 
-    assert_eq!(registry.removed_long_ago(retained_until - Span::from_micros(1)), []);
-    assert_eq!(registry.removed_long_ago(retained_until), [index]);
+    assert_eq!(registry.expired_servers(retained_until - Span::from_micros(1)), []);
+    assert_eq!(registry.expired_servers(retained_until), [index]);
 
     registry[index].in_flight = 1;
-    assert_eq!(registry.removed_long_ago(retained_until), [], "an attempt is in flight");
+    assert_eq!(registry.expired_servers(retained_until), [], "an attempt is in flight");
 }
 
 #[test]
--- a/crates/balancer-core/src/policy/outlier.rs
+++ b/crates/balancer-core/src/policy/outlier.rs
@@ -5,5 +5,5 @@
 mod ejection;
 mod health;
 
-pub use detection::{eject, find_outlier, is_relatively_slow, judge_probe, AttemptResult};
+pub use detection::{eject, evaluate_probe, find_outlier, is_relatively_slow, AttemptResult};
 pub use health::ServerHealth;
--- a/crates/balancer-core/src/policy/outlier/detection.rs
+++ b/crates/balancer-core/src/policy/outlier/detection.rs
@@ -52,7 +52,7 @@
 /// Whether a server has failed often enough to be ejected. In a sparse view a single failure or late response
 /// is enough, because the balancer's next request to the server may be minutes away.
 fn is_failing(server: &ServerState, last: AttemptResult, view: FleetView) -> bool {
-    let failures = server.health.failures();
+    let failures = server.health.consecutive_failures();
     match view {
         FleetView::Dense => failures >= CONSECUTIVE_FAILURES_TO_EJECT,
         FleetView::Sparse => {
@@ -83,7 +83,7 @@
 
 /// Evaluates the result of a probe. A success that is not slow relative to the fleet ends the ejection; any
 /// other result delays the next probe.
-pub fn judge_probe(server: &mut ServerState, probe: AttemptResult, median: LatencyRatio, now: Time) {
+pub fn evaluate_probe(server: &mut ServerState, probe: AttemptResult, median: LatencyRatio, now: Time) {
     let max_ratio = OUTLIER_FACTOR * median.value().max(MIN_MEDIAN_RATIO);
     if probe.outcome == Outcome::Success && probe.ratio.value() < max_ratio {
         server.health.recover();
--- a/crates/balancer-core/src/policy/outlier/detection/tests.rs
+++ b/crates/balancer-core/src/policy/outlier/detection/tests.rs
@@ -18,7 +18,7 @@
     assert!(fleet[server].health.is_ejected());
 
     let probe = AttemptResult { outcome: Outcome::Success, ratio: LatencyRatio::new(ratio) };
-    judge_probe(&mut fleet[server], probe, LatencyRatio::new(0.01), NOW);
+    evaluate_probe(&mut fleet[server], probe, LatencyRatio::new(0.01), NOW);
 
     !fleet[server].health.is_ejected()
 }
--- a/crates/balancer-core/src/policy/outlier/health.rs
+++ b/crates/balancer-core/src/policy/outlier/health.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the number of failures since the last success.
-    pub fn failures(&self) -> u32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Records that a request is sent. Returns `true` if the request is a probe of an ejected server.
-    pub fn start_request(&mut self) -> bool {
+    pub fn record_send(&mut self) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
         ejection.start_probe();
         true
--- a/crates/balancer-core/src/policy/outlier/health/tests.rs
+++ b/crates/balancer-core/src/policy/outlier/health/tests.rs
@@ -16,12 +16,15 @@
 #[test]
 fn errors_resets_and_failed_connects_count_as_failures_until_a_success() {
     let failures = [Outcome::ServerError, Outcome::ConnectionReset, Outcome::ConnectFailed];
-    assert_eq!(health_after(&failures).failures(), 3);
+    assert_eq!(health_after(&failures).consecutive_failures(), 3);
 
     let other_outcomes = [Outcome::Rejected, Outcome::TimedOut, Outcome::Cancelled, Outcome::NotSent];
-    assert_eq!(health_after(&other_outcomes).failures(), 0);
+    assert_eq!(health_after(&other_outcomes).consecutive_failures(), 0);
 
-    assert_eq!(health_after(&[Outcome::ServerError, Outcome::Rejected, Outcome::Success]).failures(), 0);
+    assert_eq!(
+        health_after(&[Outcome::ServerError, Outcome::Rejected, Outcome::Success]).consecutive_failures(),
+        0
+    );
 }
 
 #[test]
@@ -49,7 +52,7 @@
 
     let restarted = health.restarted();
 
-    assert_eq!(restarted.failures(), 0);
+    assert_eq!(restarted.consecutive_failures(), 0);
     assert!(!restarted.is_ejected());
     assert!(restarted.has_responded_after(NOW));
 }
@@ -57,11 +60,11 @@
 #[test]
 fn requests_to_an_ejected_server_are_probes() {
     let mut health = ServerHealth::new(NOW);
-    assert!(!health.start_request());
+    assert!(!health.record_send());
     assert!(health.allows_request(NOW, true));
 
     health.eject(NOW);
 
     assert!(!health.allows_request(NOW, true));
-    assert!(health.start_request());
+    assert!(health.record_send());
 }
--- a/crates/balancer-core/src/policy/retry/budget.rs
+++ b/crates/balancer-core/src/policy/retry/budget.rs
@@ -1,7 +1,7 @@
 //! The budget for retries of requests that may have run.
 
 use crate::policy::fleet::FleetView;
-use crate::policy::token_bucket::Budget;
+use crate::policy::token_bucket::TokenBucket;
 
 /// Cost of one retry.
 const RETRY_COST: f64 = 1.0;
@@ -15,14 +15,14 @@
 
 /// A token bucket that requests fill and retries empty.
 pub struct RetryBudget {
-    budget: Budget,
+    bucket: TokenBucket,
     max_balance: f64,
 }
 
 impl RetryBudget {
     /// Creates a full budget for a dense view.
     pub fn new() -> Self {
-        RetryBudget { budget: Budget::new(MAX_SAVED_RETRIES), max_balance: MAX_SAVED_RETRIES }
+        RetryBudget { bucket: TokenBucket::new(MAX_SAVED_RETRIES), max_balance: MAX_SAVED_RETRIES }
     }
 
     /// Sets the maximum balance for a view. A higher balance is kept until the next request arrives, and is
@@ -36,17 +36,17 @@
 
     /// Adds the fraction of a retry that one request earns.
     pub fn earn(&mut self) {
-        self.budget.earn(EARNED_PER_REQUEST, self.max_balance);
+        self.bucket.earn(EARNED_PER_REQUEST, self.max_balance);
     }
 
     /// Whether the balance is enough for a retry.
     pub fn can_pay(&self) -> bool {
-        self.budget.balance() >= RETRY_COST
+        self.bucket.balance() >= RETRY_COST
     }
 
     /// Deducts the cost of a retry.
     pub fn pay(&mut self) {
-        self.budget.spend(RETRY_COST);
+        self.bucket.spend(RETRY_COST);
     }
 }
 
--- a/crates/balancer-core/src/policy/retry/decision.rs
+++ b/crates/balancer-core/src/policy/retry/decision.rs
@@ -18,7 +18,7 @@
     let permission = AttemptPermission::of(timeliness.settings, active, timeliness.now);
     let is_permitted = permission.scope != RetryScope::Nowhere;
     let is_paid_for = outcome.proves_not_run() || budget.can_pay();
-    is_permitted && is_paid_for && !timeliness.cannot_be_in_time(active)
+    is_permitted && is_paid_for && !timeliness.is_too_late(active)
 }
 
 /// Whether an overdue attempt is cancelled so that its request is retried on another server. The attempt must
@@ -35,5 +35,5 @@
     let is_last_attempt = attempt.attempt.0 as usize + 1 == active.attempts.len();
     let has_attempts_left = active.attempts.len() < settings.max_attempts as usize;
     let is_permitted = allows_retry && is_last_attempt && has_attempts_left && settings.allows_cancel;
-    is_permitted && budget.can_pay() && !timeliness.cannot_be_in_time(active)
+    is_permitted && budget.can_pay() && !timeliness.is_too_late(active)
 }
--- a/crates/balancer-core/src/policy/routing/candidates.rs
+++ b/crates/balancer-core/src/policy/routing/candidates.rs
@@ -73,7 +73,7 @@
     /// Examines all serving servers and adds random ones from those that are eligible.
     fn add_from_all_eligible(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
         let serving = self.context.fleet.serving().iter().copied();
-        let eligible = serving.filter(|&server| self.context.is_open(server, self.request));
+        let eligible = serving.filter(|&server| self.context.is_eligible(server, self.request));
         let (tried, untried): (Vec<_>, Vec<_>) = eligible.partition(|&server| self.request.has_tried(server));
         let pool = if untried.is_empty() { tried } else { untried };
         for _ in 0..self.sample.draws.min(pool.len()) {
--- a/crates/balancer-core/src/policy/routing/eligibility.rs
+++ b/crates/balancer-core/src/policy/routing/eligibility.rs
@@ -9,7 +9,7 @@
 
 impl RoutingContext<'_> {
     /// Whether a server is eligible: the request may be sent to it now.
-    pub fn is_open(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
+    pub fn is_eligible(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
         let server = &self.fleet[index];
         if !is_in_scope(server, request.permission.scope) || !server.endpoint.is_serving() {
             return false;
@@ -22,7 +22,7 @@
 
     /// Whether a server is eligible and no earlier attempt of the request was sent to it.
     pub fn is_eligible_and_untried(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
-        !request.has_tried(index) && self.is_open(index, request)
+        !request.has_tried(index) && self.is_eligible(index, request)
     }
 
     /// Whether ejection, slow start and the concurrency limit permit sending the request to a server.
--- a/crates/balancer-core/src/policy/routing/router.rs
+++ b/crates/balancer-core/src/policy/routing/router.rs
@@ -17,7 +17,7 @@
 
 impl Router {
     /// Collects the properties of an active request that server selection depends on.
-    pub fn describe(&self, context: &RoutingContext<'_>, active: &ActiveRequest) -> RoutingRequest {
+    pub fn routing_request(&self, context: &RoutingContext<'_>, active: &ActiveRequest) -> RoutingRequest {
         RoutingRequest::new(context, &self.memory, active)
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// Returns the least loaded of the candidates; `None` if there are none.
-    pub fn lightest(
+    pub fn least_loaded(
         &self,
         context: &RoutingContext<'_>,
         request: &RoutingRequest,
@@ -63,7 +63,7 @@
     /// the number of balancers times the number of servers, and the servers' connection tables would fill up
     /// (docs/findings/fleet-connections.md). In a sparse view, a balancer sends to a given server too rarely
     /// to occupy an entry in its table, so only the connections to remembered servers are kept.
-    pub fn releases_connections(&self, fleet: &ServerRegistry, server: ServerIndex) -> bool {
+    pub fn should_close_idle_connections(&self, fleet: &ServerRegistry, server: ServerIndex) -> bool {
         match fleet.view() {
             FleetView::Dense => false,
             FleetView::Sparse => fleet[server].in_flight == 0 && !self.memory.contains(server),
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -4,7 +4,7 @@
 use super::memory::ServerMemory;
 use super::request::RoutingRequest;
 use crate::policy::fleet::{FleetView, ServerIndex, ServerState};
-use crate::policy::suspicion::SUSPECTED_SHARE;
+use crate::policy::suspicion::SUSPECTED_WEIGHT_FACTOR;
 use crate::{EndpointWeights, Settings};
 
 /// Increase of the cross-zone factor and the open-connection factor for each percent of a request that a zone
@@ -118,8 +118,9 @@
         let load = server.reported_load.expected(context.now, REPORT_DECAY_MS, mean_load);
         let ratio = context.latency.expected_ratio(server.endpoint.machine_kind, &server.latency);
         let is_suspected = context.suspicion.is_suspected(context.now, server);
-        let share = if is_suspected { SUSPECTED_SHARE } else { 1.0 };
-        share * (size / (1.0 + load) / ratio.value().powi(LATENCY_EXPONENT)).powf(CAPACITY_EXPONENT)
+        let suspicion_factor = if is_suspected { SUSPECTED_WEIGHT_FACTOR } else { 1.0 };
+        suspicion_factor
+            * (size / (1.0 + load) / ratio.value().powi(LATENCY_EXPONENT)).powf(CAPACITY_EXPONENT)
     }
 }
 
--- a/crates/balancer-core/src/policy/server_load/polling.rs
+++ b/crates/balancer-core/src/policy/server_load/polling.rs
@@ -33,12 +33,12 @@
     }
 
     /// When the poll ends, even if not all candidates have reported.
-    pub fn answer_by(&self) -> Time {
+    pub fn deadline(&self) -> Time {
         self.deadline
     }
 
     /// The candidates that have reported since the poll started, or all candidates if none has.
-    pub fn best_candidates(&self, fleet: &ServerRegistry) -> Vec<ServerIndex> {
+    pub fn usable_candidates(&self, fleet: &ServerRegistry) -> Vec<ServerIndex> {
         let reported: Vec<ServerIndex> =
             self.candidates.iter().copied().filter(|&server| self.has_reported(fleet, server)).collect();
         if reported.is_empty() {
--- a/crates/balancer-core/src/policy/shedding/shedder.rs
+++ b/crates/balancer-core/src/policy/shedding/shedder.rs
@@ -14,7 +14,7 @@
 pub struct LoadShedder {
     traffic: Traffic,
     /// The shed order of each class, by class id.
-    class_order: Vec<ShedOrder>,
+    class_shed_order: Vec<ShedOrder>,
 }
 
 impl LoadShedder {
@@ -22,7 +22,7 @@
     pub fn new(class_count: usize, tenant_count: usize) -> Self {
         LoadShedder {
             traffic: Traffic::new(class_count, tenant_count),
-            class_order: vec![ShedOrder::First; class_count],
+            class_shed_order: vec![ShedOrder::First; class_count],
         }
     }
 
@@ -48,17 +48,17 @@
     }
 
     /// The shed order of a class.
-    pub fn class_order(&self, class: ClassId) -> ShedOrder {
-        self.class_order[class.0]
+    pub fn class_shed_order(&self, class: ClassId) -> ShedOrder {
+        self.class_shed_order[class.0]
     }
 
     /// The shed order of a request: a request over its tenant's share is shed first, any other one in the
     /// order of its class.
-    pub fn order_of(&self, active: &ActiveRequest) -> ShedOrder {
+    pub fn shed_order(&self, active: &ActiveRequest) -> ShedOrder {
         if active.is_over_share {
             ShedOrder::First
         } else {
-            self.class_order(active.class())
+            self.class_shed_order(active.class())
         }
     }
 
@@ -67,14 +67,14 @@
     pub fn shed_first_fraction(&self) -> f64 {
         let by_class = self.traffic.requests_by_class();
         let is_first = |order: &ShedOrder| *order == ShedOrder::First;
-        let counts = by_class.iter().zip(&self.class_order);
+        let counts = by_class.iter().zip(&self.class_shed_order);
         let first: f64 = counts.map(|(count, order)| if is_first(order) { *count } else { 0.0 }).sum();
         first / by_class.iter().sum::<f64>()
     }
 
     /// Recomputes which classes are shed first.
     pub fn rank_classes(&mut self, settings: &Settings, latency: &FleetLatency) {
-        self.class_order = rank_classes(settings, &self.traffic, latency);
+        self.class_shed_order = rank_classes(settings, &self.traffic, latency);
     }
 }
 
--- a/crates/balancer-core/src/policy/suspicion.rs
+++ b/crates/balancer-core/src/policy/suspicion.rs
@@ -11,5 +11,5 @@
 mod tracker;
 mod zone_links;
 
-pub use server_suspicion::{ServerSuspicion, SUSPECTED_SHARE};
+pub use server_suspicion::{ServerSuspicion, SUSPECTED_WEIGHT_FACTOR};
 pub use tracker::{receive_gossip, SuspicionTracker};
--- a/crates/balancer-core/src/policy/suspicion/gossip.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip about suspected servers: the message format, the choice of receivers, and the budget of bytes.
 
-use crate::policy::token_bucket::Budget;
+use crate::policy::token_bucket::TokenBucket;
 use crate::{PeerId, ServerId, Settings};
 
 /// Maximum number of peers that are notified of a suspected server.
@@ -15,13 +15,13 @@
 
 /// The budget of bytes that gossip messages are paid from.
 pub struct GossipBudget {
-    bytes: Budget,
+    bytes: TokenBucket,
 }
 
 impl GossipBudget {
     /// Creates a full budget.
     pub fn new() -> Self {
-        GossipBudget { bytes: Budget::new(MAX_SAVED_BYTES) }
+        GossipBudget { bytes: TokenBucket::new(MAX_SAVED_BYTES) }
     }
 
     /// Adds the bytes that one request earns.
--- a/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
+++ b/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
@@ -2,8 +2,9 @@
 
 use crate::{Outcome, Span, Time};
 
-/// The fraction of its normal traffic that a suspected server still receives.
-pub const SUSPECTED_SHARE: f64 = 0.05;
+/// Factor on the tie-break weight of a suspected server, and so the fraction of its normal traffic that the
+/// server still receives.
+pub const SUSPECTED_WEIGHT_FACTOR: f64 = 0.05;
 /// Duration of a suspicion that is based on this balancer's own attempts.
 const OWN_SUSPICION_DURATION: Span = Span::from_secs(8);
 /// Duration of a suspicion that is based on gossip.
--- a/crates/balancer-core/src/policy/token_bucket.rs
+++ b/crates/balancer-core/src/policy/token_bucket.rs
@@ -1,15 +1,15 @@
 //! A token bucket that limits extra work, such as retries, in proportion to the number of requests.
 
 /// A token bucket that is refilled by requests and not with time.
-pub struct Budget {
+pub struct TokenBucket {
     /// The tokens in the bucket.
     balance: f64,
 }
 
-impl Budget {
-    /// Creates a budget with this balance.
+impl TokenBucket {
+    /// Creates a token bucket with this balance.
     pub fn new(balance: f64) -> Self {
-        Budget { balance }
+        TokenBucket { balance }
     }
 
     /// The amount that can be spent.
--- a/crates/balancer-core/src/settings/request_class.rs
+++ b/crates/balancer-core/src/settings/request_class.rs
@@ -39,11 +39,11 @@
     pub effect: Effect,
     /// The latency objective. A response within it has its full value.
     pub latency_objective: Span,
-    /// The multiple of the request's work by which the latency objective grows, up to the deadline. The
+    /// The multiple of the request's work by which the latency objective grows, up to the timeout. The
     /// balancer's decisions do not depend on this.
     pub objective_stretch: f64,
     /// How long a client waits in total for a response, including all of its own retries.
-    pub deadline: Span,
+    pub timeout: Span,
     /// The value of a response within the latency objective.
     pub priority_weight: f64,
     /// The fraction of its value that a response keeps if it comes after the latency objective and before
@@ -60,7 +60,7 @@
             effect: Effect::Idempotent,
             latency_objective: Span::from_millis(500),
             objective_stretch: 0.0,
-            deadline: Span::from_millis(1000),
+            timeout: Span::from_millis(1000),
             priority_weight: 1.0,
             late_value: 0.0,
             is_streaming: false,
--- a/crates/balancer-core/src/settings/validation.rs
+++ b/crates/balancer-core/src/settings/validation.rs
@@ -9,7 +9,7 @@
     /// # Errors
     ///
     /// Returns an error for the first setting that is missing or out of range.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
@@ -20,7 +20,7 @@
             if class.latency_objective == Span::ZERO {
                 return Err(SettingsError::ZeroSpan { setting: "aim" });
             }
-            if class.deadline == Span::ZERO {
+            if class.timeout == Span::ZERO {
                 return Err(SettingsError::ZeroSpan { setting: "deadline" });
             }
         }
@@ -28,7 +28,7 @@
         let weights = self.classes.iter().map(|class| ("worth", class.priority_weight));
         for (setting, value) in numbers.into_iter().chain(weights) {
             if !value.is_finite() || value < 0.0 {
-                return Err(SettingsError::BadNumber { setting, value });
+                return Err(SettingsError::InvalidNumber { setting, value });
             }
         }
         Ok(())
@@ -45,7 +45,7 @@
     NoClasses,
     /// A number is negative, infinite or NaN.
     #[error("setting {setting} is {value}; a finite number of zero or more is needed")]
-    BadNumber {
+    InvalidNumber {
         /// The name of the setting.
         setting: &'static str,
         /// The invalid value.
--- a/crates/balancer-core/tests/common/fixtures.rs
+++ b/crates/balancer-core/tests/common/fixtures.rs
@@ -6,8 +6,8 @@
 
 /// The latency objective of [`class`].
 pub const LATENCY_OBJECTIVE_MS: f64 = 200.0;
-/// The deadline of [`class`].
-pub const DEADLINE: Span = Span::from_millis(800);
+/// The timeout of [`class`].
+pub const CLASS_TIMEOUT: Span = Span::from_millis(800);
 
 pub const FIRST_ATTEMPT: AttemptNumber = AttemptNumber(0);
 pub const SECOND_ATTEMPT: AttemptNumber = AttemptNumber(1);
@@ -38,12 +38,12 @@
     (0..server_count).map(endpoint).collect()
 }
 
-/// A class with a latency objective of 200 ms and a deadline of 800 ms.
+/// A class with a latency objective of 200 ms and a timeout of 800 ms.
 pub fn class(effect: Effect) -> RequestClass {
     RequestClass {
         effect,
         latency_objective: Span::from_millis_f64(LATENCY_OBJECTIVE_MS),
-        deadline: DEADLINE,
+        timeout: CLASS_TIMEOUT,
         ..RequestClass::default()
     }
 }
--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -155,11 +155,11 @@
         self.submit_request_of(ClassId(0))
     }
 
-    /// Submits a new request of a class, whose client waits for the class's deadline.
+    /// Submits a new request of a class, whose client waits for the class's timeout.
     pub fn submit_request_of(&mut self, class: ClassId) -> SubmittedRequest {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let time_left = self.settings.classes[class.0].deadline;
+        let time_left = self.settings.classes[class.0].timeout;
         self.handle(Event::Request(Request::new(id, class, time_left)));
         SubmittedRequest { id, server: self.target_of(id) }
     }
--- a/crates/balancer-core/tests/common/mod.rs
+++ b/crates/balancer-core/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub use actions::{find_target, is_failed, is_rejected, is_send};
 pub use fixtures::{
     class, deduplicated, fleet, fleet_in, idempotent_settings, settings_with_effect, six_attempt_settings,
-    Topology, DEADLINE, FIRST_ATTEMPT, LATENCY_OBJECTIVE_MS, SECOND_ATTEMPT, THREE_ZONES,
+    Topology, CLASS_TIMEOUT, FIRST_ATTEMPT, LATENCY_OBJECTIVE_MS, SECOND_ATTEMPT, THREE_ZONES,
 };
 pub use harness::{FilledServers, Harness, Response, SequentialLoad, SubmittedRequest};
 pub use rule::{Rule, Violation};
--- a/crates/balancer-core/tests/memory_growth.rs
+++ b/crates/balancer-core/tests/memory_growth.rs
@@ -49,7 +49,7 @@
         self.next_request += 1;
         self.now = self.now + Span::from_millis(5);
         self.actions.clear();
-        let mut request = Request::new(id, ClassId(0), DEADLINE);
+        let mut request = Request::new(id, ClassId(0), CLASS_TIMEOUT);
         request.routing_key = Some(RoutingKey(id.0));
         self.handle(Event::Request(request));
         assert!(self.actions.iter().any(is_send), "{id:?} was not sent");
--- a/crates/balancer-core/tests/random_events/generator.rs
+++ b/crates/balancer-core/tests/random_events/generator.rs
@@ -78,7 +78,7 @@
     fn submit_request(&mut self, id: RequestId) -> Vec<Action> {
         let rng = &mut self.rng;
         let class = rng.usize(0..self.classes.len());
-        let time_left = self.classes[class].deadline * (rng.f64() * 1.2).min(1.0);
+        let time_left = self.classes[class].timeout * (rng.f64() * 1.2).min(1.0);
         let mut request = Request::new(id, ClassId(class), time_left);
         request.routing_key = rng.bool().then(|| RoutingKey(rng.u64(0..5)));
         request.cost_hint = rng.bool().then(|| Span::from_millis_f64(rng.f64() * 80.0));
--- a/crates/balancer-core/tests/recorded_actions/clients.rs
+++ b/crates/balancer-core/tests/recorded_actions/clients.rs
@@ -26,7 +26,7 @@
 
 /// All clients of a simulation.
 pub struct Clients {
-    /// Clients wait for this share of their class's deadline.
+    /// Clients wait for this fraction of their class's timeout.
     pub timeout_factor: f64,
     /// Requests arrive more often by this factor.
     pub arrival_rate_factor: f64,
@@ -79,7 +79,7 @@
         let settings = &self.scenario.settings;
         let class = rng.usize(0..settings.classes.len());
         let timeout_factor = if rng.u32(0..10) == 0 { rng.f64() } else { self.timeout_factor };
-        let time_left = settings.classes[class].deadline * timeout_factor;
+        let time_left = settings.classes[class].timeout * timeout_factor;
         let mut request = Request::new(RequestId(self.next_request), ClassId(class), time_left);
         if !settings.tenants.is_empty() {
             // The product makes the first tenant the most frequent one.
--- a/crates/balancer-core/tests/recorded_actions/simulation/faults.rs
+++ b/crates/balancer-core/tests/recorded_actions/simulation/faults.rs
@@ -7,7 +7,7 @@
 
 /// The values of [`Fleet::slowness`](super::super::fleet::Fleet::slowness), all equally likely.
 const FLEET_SLOWNESSES: [f64; 5] = [1.0, 1.0, 2.5, 6.0, 12.0];
-/// The shares of their class's deadline that clients wait, all equally likely.
+/// The fractions of their class's timeout that clients wait, all equally likely.
 const TIMEOUT_FACTORS: [f64; 4] = [1.0, 1.0, 0.6, 0.3];
 /// The factors of the arrival rate, all equally likely.
 const ARRIVAL_RATE_FACTORS: [f64; 5] = [1.0, 1.0, 0.2, 4.0, 12.0];
--- a/crates/balancer-core/tests/rule_checker.rs
+++ b/crates/balancer-core/tests/rule_checker.rs
@@ -22,7 +22,7 @@
 }
 
 fn request_event(id: RequestId) -> Event {
-    Event::Request(Request::new(id, ClassId(0), DEADLINE))
+    Event::Request(Request::new(id, ClassId(0), CLASS_TIMEOUT))
 }
 
 fn endpoint_changed(endpoint: Endpoint) -> Event {
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -12,8 +12,8 @@
     Balancer::new(settings, 1).err()
 }
 
-fn is_bad_number(error: Option<&SettingsError>) -> bool {
-    matches!(error, Some(SettingsError::BadNumber { .. }))
+fn is_invalid_number(error: Option<&SettingsError>) -> bool {
+    matches!(error, Some(SettingsError::InvalidNumber { .. }))
 }
 
 #[test]
@@ -25,12 +25,12 @@
         Some(SettingsError::ZeroSpan { setting: "aim" })
     );
     assert_eq!(
-        error_after(|settings| settings.classes[0].deadline = Span::ZERO),
+        error_after(|settings| settings.classes[0].timeout = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "deadline" })
     );
-    assert!(is_bad_number(error_after(|settings| settings.initial_capacity = f64::NAN).as_ref()));
-    assert!(is_bad_number(error_after(|settings| settings.overload_factor = -1.0).as_ref()));
-    assert!(is_bad_number(
+    assert!(is_invalid_number(error_after(|settings| settings.initial_capacity = f64::NAN).as_ref()));
+    assert!(is_invalid_number(error_after(|settings| settings.overload_factor = -1.0).as_ref()));
+    assert!(is_invalid_number(
         error_after(|settings| settings.classes[0].priority_weight = f64::INFINITY).as_ref()
     ));
     assert_eq!(error_after(|_| ()), None);
--- a/crates/balancer-core/tests/shedding.rs
+++ b/crates/balancer-core/tests/shedding.rs
@@ -121,7 +121,7 @@
 
     let served = OverloadedService::served_shares(settings, |number| {
         let class = ClassId((number % 3) as usize);
-        Request::new(RequestId(u64::from(number)), class, DEADLINE)
+        Request::new(RequestId(u64::from(number)), class, CLASS_TIMEOUT)
     });
 
     assert!(served[2] > served[0] + 0.1 && served[2] > served[1] + 0.1, "{served:?}");
@@ -136,7 +136,7 @@
 
     let served = OverloadedService::served_shares(settings, |number| Request {
         tenant: Some(TenantId(usize::from(number % 5 == 0))),
-        ..Request::new(RequestId(u64::from(number)), ClassId(0), DEADLINE)
+        ..Request::new(RequestId(u64::from(number)), ClassId(0), CLASS_TIMEOUT)
     });
 
     assert!(served[1] > served[0] + 0.05, "the one within its share: {served:?}");
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -152,7 +152,7 @@
     balancer.handle(Time::from_micros(1), endpoints, &mut actions);
 
     for number in 0..4 {
-        let request = Request::new(RequestId(number), ClassId(0), DEADLINE);
+        let request = Request::new(RequestId(number), ClassId(0), CLASS_TIMEOUT);
         balancer.handle(Time::from_micros(2), Event::Request(request), &mut actions);
     }
 
--- a/crates/balancer-settings/src/decision_settings.rs
+++ b/crates/balancer-settings/src/decision_settings.rs
@@ -132,7 +132,7 @@
             effect: effect(wire),
             latency_objective: Span::from_millis_f64(wire.latency_objective_ms),
             objective_stretch: wire.objective_stretch.unwrap_or(0.0),
-            deadline: Span::from_millis_f64(wire.deadline_ms),
+            timeout: Span::from_millis_f64(wire.deadline_ms),
             priority_weight: wire.priority_weight,
             late_value: wire.late_value,
             is_streaming: wire.is_streaming,
--- a/crates/balancer-settings/src/wire.rs
+++ b/crates/balancer-settings/src/wire.rs
@@ -54,6 +54,7 @@
     pub(crate) objective_stretch: Option<f64>,
     #[serde(rename = "aimMs")]
     pub(crate) latency_objective_ms: f64,
+    /// Converted into [`RequestClass::timeout`](balancer_core::RequestClass::timeout).
     pub(crate) deadline_ms: f64,
     pub(crate) effect: WireEffect,
     /// The name of the class.
--- a/crates/balancer-settings/tests/wire_settings.rs
+++ b/crates/balancer-settings/tests/wire_settings.rs
@@ -47,7 +47,7 @@
         effect: Effect::Deduplicated { scope: DedupScope::Zone, window: Span::from_millis(900) },
         latency_objective: Span::from_millis(150),
         objective_stretch: 0.5,
-        deadline: Span::from_millis(300),
+        timeout: Span::from_millis(300),
         priority_weight: 10.0,
         late_value: 0.3,
         is_streaming: true,
