--- a/crates/balancer-agent/src/main.rs
+++ b/crates/balancer-agent/src/main.rs
@@ -127,7 +127,7 @@
 
 /// Returns the longest time that a client waits for a response, over all request classes.
 fn longest_timeout(settings: &Settings) -> Duration {
-    let longest = settings.classes.iter().map(|class| class.deadline).max();
+    let longest = settings.classes.iter().map(|class| class.timeout).max();
     Duration::from_micros(longest.unwrap_or_default().as_micros())
 }
 
--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -67,7 +67,7 @@
         Probability::new(self.probability)
     }
 
-    /// Adjusts the probability by the latency ratio of one attempt, while `in_flight` attempts have not ended.
+    /// Adjusts the probability by the latency ratio of one attempt while `in_flight` attempts have not ended.
     pub fn record(&mut self, ratio: LatencyRatio, in_flight: usize) {
         let bounds = self.adjustment_bounds();
         let round_trip_attempts = bounds.min_round_trip_attempts.max(in_flight + 1);
@@ -100,7 +100,7 @@
     /// the fleet has shrunk before any server is slow, and a fleet that warms up can serve more
     /// (docs/findings/fleet-join.md). A capacity of zero, from an empty endpoint list, is ignored, because
     /// it does not predict the capacity of the next list.
-    pub fn follow_capacity(&mut self, capacity: f64) {
+    pub fn update_capacity(&mut self, capacity: f64) {
         if capacity <= 0.0 {
             return;
         }
