--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the wire's events for the balancer.
+//! Decodes the events of the wire format into the events of the balancer.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::EventError;
@@ -13,13 +13,13 @@
 };
 use balancer_settings::hash_name;
 
-/// Decodes an event; `None` if it is about a request that is finished and has been removed, or about a timer
-/// that no balancer sets.
+/// Decodes an event. Returns `None` if the balancer has nothing to handle: the request is unknown or has been
+/// removed, no balancer sets the timer, or the host handles the event itself.
 ///
 /// # Errors
 ///
-/// If the event refers to an endpoint list or server that the instance does not know, has the id of a request
-/// that is still in use, or has an invalid payload.
+/// Returns an error if the event refers to an unknown endpoint list or server, if a new request has an id
+/// that is still in use, or if the payload of a gossip message is invalid.
 pub fn decode(
     event: WireEvent<'_>,
     identifiers: &mut WireIdentifiers,
@@ -43,7 +43,7 @@
         WireEvent::TimerDue { timer } => TimerId::from_number(timer).map(Event::TimerDue),
         WireEvent::HealthChecked(checked) => Some(decode_health_checked(checked, identifiers)?),
         WireEvent::Gossip(gossip) => Some(decode_gossip(&gossip)?),
-        // The host handles these events itself.
+        // `Host` handles these events itself.
         WireEvent::Attach(_) | WireEvent::Retire {} | WireEvent::EndpointList(_) => None,
     };
     Ok(event)
@@ -54,7 +54,7 @@
     identifiers: &mut WireIdentifiers,
     lists: &EndpointLists,
 ) -> Result<EndpointUpdate, EventError> {
-    let to_update = match update.form {
+    let to_core_update = match update.form {
         WireUpdateForm::Failed => return Ok(EndpointUpdate::Failed),
         WireUpdateForm::Changes => EndpointUpdate::Changes,
         WireUpdateForm::Complete => EndpointUpdate::Complete,
@@ -66,27 +66,28 @@
         let server = identifiers.servers.intern(&listed.name);
         listed.to_endpoint(server)
     });
-    Ok(to_update(endpoints.collect()))
+    Ok(to_core_update(endpoints.collect()))
 }
 
 fn decode_request(
     request: &WireRequest<'_>,
     identifiers: &mut WireIdentifiers,
 ) -> Result<Request, EventError> {
-    let duplicate = || EventError::DuplicateRequest { request_id: request.request_id.to_string() };
-    let id = identifiers.requests.insert(&request.request_id).ok_or_else(duplicate)?;
+    let duplicate_request = || EventError::DuplicateRequest { request_id: request.request_id.to_string() };
+    let id = identifiers.requests.insert(&request.request_id).ok_or_else(duplicate_request)?;
     Ok(Request {
         id,
         class: ClassId(request.class),
         tenant: request.tenant.map(TenantId),
         routing_key: request.routing_key.as_deref().map(|key| RoutingKey(hash_name(key))),
-        cost_hint: cost_hint(request),
+        cost_hint: decode_cost_hint(request),
         is_client_retry: has_flag(request, FLAG_CLIENT_RETRY),
         time_left: Span::from_millis_f64(request.time_left_ms),
     })
 }
 
-fn cost_hint(request: &WireRequest<'_>) -> Option<Span> {
+/// Returns the cost hint, or `None` if the hint is not marked as valid or is not a positive number.
+fn decode_cost_hint(request: &WireRequest<'_>) -> Option<Span> {
     if !has_flag(request, FLAG_VALID_COST_HINT) {
         return None;
     }
@@ -113,8 +114,8 @@
     checked: WireHealthChecked<'_>,
     identifiers: &WireIdentifiers,
 ) -> Result<Event, EventError> {
-    let unknown = || EventError::UnknownServer { server: checked.server.to_string() };
-    let server = identifiers.servers.find(&checked.server).ok_or_else(unknown)?;
+    let unknown_server = || EventError::UnknownServer { server: checked.server.to_string() };
+    let server = identifiers.servers.find(&checked.server).ok_or_else(unknown_server)?;
     Ok(Event::HealthChecked {
         server,
         outcome: Outcome::from(checked.outcome),
--- a/crates/simulator-adapter/src/decode/tests.rs
+++ b/crates/simulator-adapter/src/decode/tests.rs
@@ -1,4 +1,4 @@
-//! Single events, decoded from JSON.
+//! Tests of the decoding of single events from JSON.
 
 use super::decode;
 use crate::endpoint_lists::EndpointLists;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn cost_hint_counts_only_if_it_is_flagged_and_positive() {
+fn cost_hint_is_used_only_if_it_is_flagged_and_positive() {
     assert_eq!(decode_request(r#","estimateMs":12.5,"opts":1"#).cost_hint, Some(Span::from_millis_f64(12.5)));
     assert_eq!(decode_request(r#","estimateMs":12.5,"opts":6"#).cost_hint, None);
     assert_eq!(decode_request(r#","estimateMs":12.5"#).cost_hint, None);
--- a/crates/simulator-adapter/src/encode/tests.rs
+++ b/crates/simulator-adapter/src/encode/tests.rs
@@ -1,4 +1,4 @@
-//! Single actions, encoded in JSON.
+//! Tests of the encoding of single actions in JSON.
 
 use super::encode;
 use crate::wire_identifiers::WireIdentifiers;
@@ -10,7 +10,7 @@
 
 const REQUEST: RequestId = RequestId(0);
 
-/// The identifiers of an instance that knows one request and the server `backend_a`.
+/// Returns the identifiers of an instance that knows the request `r-1` and the server `backend_a`.
 fn known_identifiers() -> WireIdentifiers {
     let mut identifiers = WireIdentifiers::default();
     assert_eq!(identifiers.requests.insert("r-1"), Some(REQUEST));
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,36 +1,37 @@
-//! The endpoint lists of the process, which its instances share and refer to by number.
+//! The endpoint lists that all instances of the process share.
 
 use crate::wire::{WireEndpoint, WireEndpointList, WireEndpointStatus};
 use balancer_core::{CellId, Endpoint, EndpointStatus, MachineKindId, ServerId, Time, ZoneId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The weight of a server whose entry has none.
+/// The weight of a server if its entry in the endpoint list does not contain one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The endpoint lists, by their numbers.
+/// Stores endpoint lists by the numbers that the simulator gives them.
 #[derive(Debug, Default)]
 pub struct EndpointLists {
     lists: BTreeMap<u32, Vec<ListedEndpoint>>,
 }
 
 impl EndpointLists {
-    /// Stores a list under its number, in place of the list that had the number before.
+    /// Stores a list. It replaces an earlier list with the same number.
     pub fn insert(&mut self, list: WireEndpointList<'_>) {
         let endpoints = list.endpoints.into_iter().map(ListedEndpoint::from).collect();
         self.lists.insert(list.list_number, endpoints);
     }
 
-    /// The list with this number.
+    /// Returns the list with this number, or `None` if there is none.
     pub fn get(&self, list_number: u32) -> Option<&[ListedEndpoint]> {
         self.lists.get(&list_number).map(Vec::as_slice)
     }
 }
 
-/// An entry of a list. It has no [`ServerId`], because each instance numbers the servers itself.
+/// An entry of an endpoint list. The entry has no [`ServerId`], because each instance assigns the ids of its
+/// servers itself.
 #[derive(Debug)]
 pub struct ListedEndpoint {
-    /// The server's name, whose text the instances share.
+    /// The name of the server. All instances share the memory of the string.
     pub name: Rc<str>,
     zone: ZoneId,
     machine_kind: MachineKindId,
@@ -41,7 +42,7 @@
 }
 
 impl ListedEndpoint {
-    /// The endpoint for an instance in which the server has this number.
+    /// Returns the endpoint for an instance in which the server has this id.
     pub fn to_endpoint(&self, server: ServerId) -> Endpoint {
         Endpoint {
             server,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,16 @@
-//! The errors of a session, and of actions that cannot be encoded. Their texts use the wire's names.
+//! The errors that end a session, and the errors of actions that cannot be encoded. The messages use the
+//! names on the wire.
 
 use balancer_core::{ServerId, SettingsError};
 use std::{fmt, io};
 use thiserror::Error;
 
-/// The position of a line whose round cannot be read.
+/// The position of an input line whose round is unknown because the line is not a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InputPosition {
-    /// It is the first line.
+    /// The first line.
     FirstRound,
-    /// It is the line after the batch of this round.
+    /// The line after the batch with this round.
     AfterRound(u64),
 }
 
@@ -28,7 +29,7 @@
     /// Reading the input failed.
     #[error("cannot read the input: {0}")]
     UnreadableInput(#[source] io::Error),
-    /// A line is not a batch in the wire's format.
+    /// A line is not a batch in the wire format.
     #[error("{position}: not a batch: {source}")]
     MalformedBatch {
         /// The position of the line.
@@ -36,18 +37,18 @@
         /// The JSON error.
         source: serde_json::Error,
     },
-    /// A batch cannot be handled.
+    /// The contents of a batch are invalid.
     #[error("round {round}: {source}")]
     InvalidBatch {
-        /// The batch's round.
+        /// The round of the batch.
         round: u64,
-        /// What is wrong.
+        /// Why the batch is invalid.
         source: BatchError,
     },
     /// A reply cannot be encoded in JSON.
     #[error("round {round}: {source}")]
     UnencodableReply {
-        /// The reply's round.
+        /// The round of the reply.
         round: u64,
         /// The JSON error.
         source: serde_json::Error,
@@ -55,14 +56,14 @@
     /// Writing the output failed.
     #[error("round {round}: cannot write the reply: {source}")]
     UnwritableOutput {
-        /// The reply's round.
+        /// The round of the reply.
         round: u64,
         /// The I/O error.
         source: io::Error,
     },
 }
 
-/// Why a batch cannot be handled.
+/// The reason why a batch is invalid.
 #[derive(Debug, Error)]
 pub enum BatchError {
     /// The batch's time is negative or not finite.
@@ -71,64 +72,64 @@
         /// The time, in milliseconds.
         clock_ms: f64,
     },
-    /// An event is not valid.
+    /// An event is invalid.
     #[error("instance {instance}: {source}")]
     InvalidEvent {
-        /// The instance that the event is for.
+        /// The number of the instance that the event is for.
         instance: u32,
-        /// What is wrong.
+        /// Why the event is invalid.
         source: EventError,
     },
 }
 
-/// Why an event is not valid.
+/// The reason why an event is invalid.
 #[derive(Debug, Error)]
 pub enum EventError {
     /// The instance has not been started.
     #[error("an event came before ATTACH: {event}")]
     NotAttached {
-        /// The event's name on the wire.
+        /// The name of the event on the wire.
         event: &'static str,
     },
-    /// The settings are not valid for a balancer.
+    /// The settings in an ATTACH event are invalid.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// A REGISTRY event with endpoints gives no list number.
+    /// A REGISTRY event that changes the endpoint list contains no list number.
     #[error("REGISTRY names no catalogue")]
     MissingListNumber,
-    /// A REGISTRY event gives the number of a list that no CATALOG event has set up.
+    /// A REGISTRY event contains a list number that no CATALOG event has defined.
     #[error("REGISTRY names catalogue {list_number}, which no CATALOG has set up")]
     UnknownList {
-        /// The list number.
+        /// The unknown list number.
         list_number: u32,
     },
-    /// A new request has the id of a request that is still in use.
+    /// A new request has the id of a request that has not been removed.
     #[error("REQUEST {request_id} came twice")]
     DuplicateRequest {
-        /// The request's id.
+        /// The id of both requests.
         request_id: String,
     },
-    /// A PROBED event is about a server that was in no list of this instance.
+    /// A PROBED event refers to a server that has been in no endpoint list of the instance.
     #[error("PROBED names backend {server}, which no list has named")]
     UnknownServer {
-        /// The server's name.
+        /// The name of the server.
         server: String,
     },
-    /// The payload of a MAIL event is not hexadecimal.
+    /// The payload of a MAIL event is not hexadecimal or has an odd number of digits.
     #[error("MAIL holds {payload:?}; an even number of hex digits was expected")]
     InvalidPayload {
-        /// The payload.
+        /// The invalid payload.
         payload: String,
     },
 }
 
-/// Why an action cannot be encoded. Each is a bug in the decision code.
+/// The reason why an action cannot be encoded. Such an action is always caused by a bug in the decision code.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ActionError {
-    /// It is about a request that never arrived, or that is finished and has been removed.
+    /// The action refers to a request that never arrived or that has been removed.
     #[error("an action for a request that is not open")]
     UnknownRequest,
-    /// It is about a server that was in no list of this instance.
+    /// The action refers to a server that has been in no endpoint list of the instance.
     #[error("an action for server number {}, which no list has named", .0.0)]
     UnknownServer(ServerId),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The host of all instances of this process, which passes each event to the instance that it is for.
+//! The host of all instances of the process. It passes each event to the instance that the event is for.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::{BatchError, EventError};
@@ -7,20 +7,20 @@
 use balancer_core::Time;
 use std::collections::BTreeMap;
 
-/// All instances of this process, and the endpoint lists, which are all that they share.
+/// Holds all instances of the process. The instances share nothing but the endpoint lists.
 #[derive(Default)]
 pub struct Host {
     endpoint_lists: EndpointLists,
-    /// By the instance's number.
+    /// The instances that have been started, by their numbers.
     instances: BTreeMap<u32, Instance>,
 }
 
 impl Host {
-    /// Handles the events of a batch in their order, and returns the actions of the instances.
+    /// Handles the events of a batch in order and returns the actions of the instances.
     ///
     /// # Errors
     ///
-    /// If the batch's time is not valid, or an event in it is not.
+    /// Returns an error if the time of the batch or one of its events is invalid.
     pub fn handle_batch(&mut self, batch: Batch<'_>) -> Result<Reply, BatchError> {
         let clock_ms = batch.clock_ms;
         if !clock_ms.is_finite() || clock_ms < 0.0 {
@@ -63,7 +63,7 @@
             WireEvent::Attach(attach) => self.attach(now, instance, &attach, actions)?,
             WireEvent::Retire {} => {
                 self.instances.remove(&instance);
-                // The actions of the ended incarnation in this batch must not be carried out any more.
+                // The simulator must not carry out actions that the ended instance returned in this batch.
                 actions.clear();
             }
             event => {
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Starts a new incarnation of an instance, in place of the one before it, if any.
+    /// Starts a new instance, which replaces an earlier one with the same number.
     fn attach(
         &mut self,
         now: Time,
@@ -83,9 +83,9 @@
         attach: &WireAttach,
         actions: &mut Vec<WireAction>,
     ) -> Result<(), EventError> {
-        let mut incarnation = Instance::new(attach)?;
-        incarnation.start(now, actions);
-        self.instances.insert(instance, incarnation);
+        let mut new_instance = Instance::new(attach)?;
+        new_instance.start(now, actions);
+        self.instances.insert(instance, new_instance);
         Ok(())
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a balancer, and the wire's identifiers of its servers and requests.
+//! An instance: a balancer that runs for one simulated agent.
 
 use crate::decode::decode;
 use crate::encode::encode;
@@ -10,18 +10,19 @@
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// One incarnation of an instance: it lives from its start to the end or the restart of the simulated agent.
+/// A balancer and the wire identifiers of its servers and requests. When the simulated agent restarts, a new
+/// instance replaces this one.
 pub struct Instance {
     balancer: Balancer,
     identifiers: WireIdentifiers,
 }
 
 impl Instance {
-    /// An instance that has not been started.
+    /// Creates an instance. The caller starts it with [`Instance::start`].
     ///
     /// # Errors
     ///
-    /// If the settings are not valid for a balancer.
+    /// Returns an error if the settings are invalid.
     pub fn new(attach: &WireAttach) -> Result<Self, EventError> {
         let balancer = Balancer::new(Settings::from(&*attach.settings), attach.seed)?;
         Ok(Instance { balancer, identifiers: WireIdentifiers::default() })
@@ -36,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// If the event is not valid for this instance.
+    /// Returns an error if the event is invalid for this instance; see [`EventError`].
     pub fn handle(
         &mut self,
         now: Time,
@@ -50,18 +51,20 @@
         Ok(())
     }
 
-    /// Runs a step of the balancer. A panic in it is reported in place of its actions.
+    /// Runs a step of the balancer and encodes the resulting actions. If the balancer panics, a report of the
+    /// panic takes the place of the actions.
     fn run_balancer(
         &mut self,
         wire_actions: &mut Vec<WireAction>,
         step: impl FnOnce(&mut Balancer, &mut Vec<Action>),
     ) {
         let mut actions = Vec::new();
-        // The simulator shows a panic's text only if it is reported as an action. The balancer may be
-        // inconsistent after a panic, which does no harm because the simulator stops at the report.
+        // The simulator shows the panic message only if it is reported as an action. The state of the
+        // balancer may be inconsistent after a panic. This does no harm, because the simulator stops when it
+        // receives the report.
         let result = catch_unwind(AssertUnwindSafe(|| step(&mut self.balancer, &mut actions)));
-        if let Err(panic) = result {
-            wire_actions.push(WireAction::ReportBug { text: panic_text(&*panic) });
+        if let Err(payload) = result {
+            wire_actions.push(WireAction::ReportBug { text: panic_message(&*payload) });
             return;
         }
         let identifiers = &mut self.identifiers;
@@ -70,12 +73,13 @@
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
-    if let Some(text) = panic.downcast_ref::<String>() {
-        return text.clone();
+/// Returns the message of a panic.
+fn panic_message(payload: &(dyn Any + Send)) -> String {
+    if let Some(message) = payload.downcast_ref::<String>() {
+        return message.clone();
     }
-    match panic.downcast_ref::<&str>() {
-        Some(text) => (*text).to_owned(),
+    match payload.downcast_ref::<&str>() {
+        Some(message) => (*message).to_owned(),
         None => "panic without a text".to_owned(),
     }
 }
--- a/crates/simulator-adapter/src/instance/tests.rs
+++ b/crates/simulator-adapter/src/instance/tests.rs
@@ -1,4 +1,4 @@
-//! How a panic of the decision code is reported.
+//! Tests of how the actions and the panics of the balancer are reported.
 
 use super::Instance;
 use crate::wire::{WireAction, WireAttach};
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs balancers for the simulator: reads lines of events from standard input, and writes a line of actions
-//! for each to standard output.
+//! Runs balancers for the simulator. Reads batches of events from standard input, one batch per line, and
+//! replies to each batch with a line of actions on standard output.
 
 mod decode;
 mod encode;
@@ -16,17 +16,18 @@
 use std::io;
 use std::process::ExitCode;
 
-/// The exit code of a session that an error has ended.
-const EXIT_FAILURE: u8 = 2;
+/// The exit code if an error has ended the session.
+const SESSION_ERROR_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
-    // A panic in the decision code is reported on the wire; the default hook would print it a second time.
+    // A panic in the decision code is reported on the wire. The default hook would also print it to standard
+    // error.
     std::panic::set_hook(Box::new(|_| {}));
     match session::run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{}: {error}", env!("CARGO_PKG_NAME"));
-            ExitCode::from(EXIT_FAILURE)
+            ExitCode::from(SESSION_ERROR_EXIT_CODE)
         }
     }
 }
--- a/crates/simulator-adapter/src/notice_text.rs
+++ b/crates/simulator-adapter/src/notice_text.rs
@@ -1,8 +1,8 @@
-//! Words the balancer's notices for the simulator's report.
+//! The texts of the balancer's notices in the simulator's report.
 
 use balancer_core::Notice;
 
-/// The text of a notice. Servers are named by their numbers, which are the same in every instance.
+/// Returns the text of a notice. The text refers to a server by its id, which is the same in every instance.
 pub fn notice_text(notice: &Notice) -> String {
     match notice {
         Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
@@ -11,6 +11,7 @@
             latency_ratio.value(),
             fleet_median.value()
         ),
+        // `Notice` may get more variants than this adapter knows.
         _ => format!("{notice:?}"),
     }
 }
--- a/crates/simulator-adapter/src/request_id_map.rs
+++ b/crates/simulator-adapter/src/request_id_map.rs
@@ -1,19 +1,19 @@
-//! The requests of one instance: their ids on the wire and their numbers in the balancer.
+//! The mapping between the ids that the simulator and the balancer give to the requests of an instance.
 
 use balancer_core::RequestId;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Finished requests are removed only while the map holds at least this many, so that the cost of looking
-/// through all of them is spread over many requests.
+/// The size of the map from which [`RequestIdMap::prune`] removes requests. Pruning visits every request in
+/// the map. A minimum size spreads this cost over many requests.
 const PRUNING_THRESHOLD: usize = 1024;
 
-/// What is known of a request.
+/// The state of a request.
 #[derive(Debug)]
 struct RequestRecord {
     id: RequestId,
     attempts_in_flight: u32,
-    /// It has its final answer, or its client has disconnected.
+    /// Whether the request has its final response or its client has disconnected.
     is_closed: bool,
 }
 
@@ -22,15 +22,15 @@
         RequestRecord { id, attempts_in_flight: 0, is_closed: false }
     }
 
-    /// Whether no more events or actions refer to the request.
-    fn is_finished(&self) -> bool {
+    /// Returns whether no further event or action can refer to the request.
+    fn can_be_removed(&self) -> bool {
         self.is_closed && self.attempts_in_flight == 0
     }
 }
 
-/// Maps the ids that the simulator gives to requests ("wire ids") to the balancer's numbers, and back.
+/// Maps the ids that the simulator gives to requests (wire ids) to the ids in the balancer and back.
 ///
-/// A request is kept while it is open or has attempts in flight.
+/// The map keeps a request at least until it is closed and has no attempts in flight.
 #[derive(Debug, Default)]
 pub struct RequestIdMap {
     records: HashMap<Rc<str>, RequestRecord>,
@@ -39,7 +39,7 @@
 }
 
 impl RequestIdMap {
-    /// Adds a new request and returns its number; `None` if its wire id is already in use.
+    /// Adds a request and returns its id, or `None` if the map has a request with this wire id already.
     pub fn insert(&mut self, wire_id: &str) -> Option<RequestId> {
         if self.records.contains_key(wire_id) {
             return None;
@@ -52,25 +52,26 @@
         Some(id)
     }
 
-    /// The number of a request.
+    /// Returns the id of the request with this wire id, or `None` if the request is unknown.
     pub fn find(&self, wire_id: &str) -> Option<RequestId> {
         self.records.get(wire_id).map(|record| record.id)
     }
 
-    /// The wire id of a request.
+    /// Returns the wire id of the request with this id, or `None` if the request is unknown.
     pub fn wire_id(&self, id: RequestId) -> Option<&Rc<str>> {
         self.wire_ids.get(&id)
     }
 
-    /// Records that an attempt is sent, and returns the wire id of its request.
+    /// Records that an attempt is sent. Returns the wire id of its request, or `None` if the request is
+    /// unknown.
     pub fn start_attempt(&mut self, id: RequestId) -> Option<&Rc<str>> {
         let wire_id = self.wire_ids.get(&id)?;
         self.records.get_mut(wire_id)?.attempts_in_flight += 1;
         Some(wire_id)
     }
 
-    /// Records that an attempt has ended, and returns the number of its request. A request is finished once
-    /// it has its final answer.
+    /// Records that an attempt has ended and, if `is_request_finished`, that its request has its final
+    /// response. Returns the id of the request, or `None` if the request is unknown.
     pub fn end_attempt(&mut self, wire_id: &str, is_request_finished: bool) -> Option<RequestId> {
         let record = self.records.get_mut(wire_id)?;
         record.attempts_in_flight = record.attempts_in_flight.saturating_sub(1);
@@ -78,32 +79,35 @@
         Some(record.id)
     }
 
-    /// Records that the balancer has rejected or failed a request, and returns its wire id.
+    /// Records that the balancer has rejected or failed a request. Returns the wire id of the request, or
+    /// `None` if the request is unknown.
     pub fn close(&mut self, id: RequestId) -> Option<&Rc<str>> {
         let wire_id = self.wire_ids.get(&id)?;
         self.records.get_mut(wire_id)?.is_closed = true;
         Some(wire_id)
     }
 
-    /// Records that the client has disconnected and needs no answer, and returns the request's number.
+    /// Records that the client has disconnected, so the request needs no final response any more. Returns the
+    /// id of the request, or `None` if the request is unknown.
     pub fn disconnect(&mut self, wire_id: &str) -> Option<RequestId> {
         let record = self.records.get_mut(wire_id)?;
         record.is_closed = true;
         Some(record.id)
     }
 
-    /// Removes finished requests if the map is large.
+    /// Removes the requests that no further event or action can refer to, if the map holds at least
+    /// [`PRUNING_THRESHOLD`] requests.
     pub fn prune(&mut self) {
         if self.records.len() < PRUNING_THRESHOLD {
             return;
         }
         let wire_ids = &mut self.wire_ids;
         self.records.retain(|_, record| {
-            let is_finished = record.is_finished();
-            if is_finished {
+            let can_be_removed = record.can_be_removed();
+            if can_be_removed {
                 wire_ids.remove(&record.id);
             }
-            !is_finished
+            !can_be_removed
         });
     }
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,16 +1,16 @@
-//! A session with the simulator: reads batches and writes a reply to each until the input ends.
+//! A session with the simulator. It reads batches until the input ends and writes a reply to each.
 
 use crate::error::{InputPosition, SessionError};
 use crate::host::Host;
 use crate::wire::{Batch, Reply};
 use std::io::{BufRead, Write};
 
-/// Replies to each line of the input with one line of the output.
+/// Runs a session: handles each line of the input and writes the reply as one line of the output.
 ///
 /// # Errors
 ///
-/// At the first line that cannot be read or handled, or whose reply cannot be written. The session is over
-/// then.
+/// Returns an error at the first line that cannot be read or handled, or whose reply cannot be written. Later
+/// lines are not read.
 pub fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), SessionError> {
     let mut host = Host::default();
     let mut position = InputPosition::FirstRound;
@@ -27,14 +27,14 @@
     Ok(())
 }
 
-/// Reads the next line into `line`, whose contents it replaces; false at the end of the input.
+/// Replaces the contents of `line` by the next line of the input. Returns false at the end of the input.
 fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>) -> Result<bool, SessionError> {
     line.clear();
     let length = input.read_until(b'\n', line).map_err(SessionError::UnreadableInput)?;
     Ok(length > 0)
 }
 
-/// Writes a reply and flushes it, because the simulator waits for it.
+/// Writes a reply as one line. Flushes the output, because the simulator waits for the reply.
 fn write_reply(output: &mut impl Write, reply: &Reply) -> Result<(), SessionError> {
     let round = reply.round;
     let mut line =
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Whole sessions: lines of input made by the tests, and the replies to them.
+//! Tests of whole sessions, from the lines of input to the replies.
 
 mod errors;
 mod messages;
--- a/crates/simulator-adapter/src/tests/errors.rs
+++ b/crates/simulator-adapter/src/tests/errors.rs
@@ -1,4 +1,5 @@
-//! Invalid input ends the session with an error that names the place and the reason, and without a reply.
+//! Tests that invalid input ends the session without a reply, and that the error states where the input is
+//! invalid and why.
 
 use super::messages::{attach, batch, registry, request, run_session};
 
--- a/crates/simulator-adapter/src/tests/messages.rs
+++ b/crates/simulator-adapter/src/tests/messages.rs
@@ -1,9 +1,9 @@
-//! Lines of input, and sessions that run on them.
+//! Builds lines of input for tests and runs sessions on them.
 
 use crate::session::run;
 use serde_json::{json, Value};
 
-/// Settings with two classes, and with keys that the adapter does not know.
+/// Settings with two classes and some unknown keys, which the adapter ignores.
 const SETTINGS: &str = r#"{"balancers":2,"classes":[
  {"aimMs":200.0,"deadlineMs":800.0,"effect":"idempotent","group":"all","points":1.0,"stream":false,
   "novelty":[1]},
@@ -12,12 +12,12 @@
  "feedback":{"fields":["queue","weather"],"source":"piggyback"},"limits":{"cancel":true,"maxAttempts":3},
  "somethingNew":{"deep":[{}]},"weights":"silent","zone":0}"#;
 
-/// An event that starts an instance.
+/// Returns an event that starts an instance.
 pub fn attach() -> String {
     format!(r#"{{"ATTACH":{{"salt":7,"params":{}}}}}"#, SETTINGS.replace('\n', " "))
 }
 
-/// An event that sets up an endpoint list of serving servers.
+/// Returns an event that defines an endpoint list of serving servers.
 pub fn catalog(list_number: u32, servers: &[&str]) -> String {
     let entries: Vec<String> = servers.iter().map(|server| catalog_entry(server)).collect();
     format!(r#"{{"CATALOG":{{"ref":{list_number},"membersList":[{}]}}}}"#, entries.join(","))
@@ -31,12 +31,12 @@
     entry.to_string()
 }
 
-/// An event that updates the endpoints of an instance to those of a list.
+/// Returns an event that updates the endpoints of an instance from a list.
 pub fn registry(form: &str, list_number: u32) -> String {
     format!(r#"{{"REGISTRY":{{"form":"{form}","rev":1,"ref":{list_number}}}}}"#)
 }
 
-/// An event with a request of the first class.
+/// Returns the event of a new request of the first class.
 pub fn request(request_id: &str) -> String {
     let fields = json!({
         "ticket": request_id, "party": null, "cls": 0, "affinity": "k:1",
@@ -45,7 +45,7 @@
     json!({ "REQUEST": fields }).to_string()
 }
 
-/// A line of input with the events of some instances.
+/// Returns a line of input with the events of some instances.
 pub fn batch(round: u32, clock_ms: &str, parts: &[(u32, &[String])]) -> String {
     let parts: Vec<String> = parts.iter().map(|(instance, events)| part(*instance, events)).collect();
     format!("{{\"tMs\":{clock_ms},\"round\":{round},\"parts\":[{}]}}\n", parts.join(","))
@@ -57,13 +57,13 @@
 
 /// A session that has ended.
 pub struct EndedSession {
-    /// How it ended, with the text of an error.
+    /// How the session ended; the error is given by its message.
     pub result: Result<(), String>,
-    /// Its lines of output.
+    /// The lines of output.
     pub replies: Vec<Value>,
 }
 
-/// Runs a session on this input.
+/// Runs a session on this input until the session ends.
 pub fn run_session(input: &str) -> EndedSession {
     let mut output = Vec::new();
     let result = run(&mut input.as_bytes(), &mut output).map_err(|error| error.to_string());
@@ -72,7 +72,7 @@
     EndedSession { result, replies }
 }
 
-/// The fields of all actions with this name in a reply.
+/// Returns the fields of all actions with this wire name in a reply.
 pub fn actions<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
     let parts = reply["parts"].as_array().expect("parts");
     let actions = parts.iter().flat_map(|part| part["outbox"].as_array().expect("outbox"));
--- a/crates/simulator-adapter/src/tests/replies.rs
+++ b/crates/simulator-adapter/src/tests/replies.rs
@@ -1,4 +1,4 @@
-//! The replies to valid input.
+//! Tests of the replies to valid input.
 
 use super::messages::{actions, attach, batch, catalog, registry, request, run_session};
 use serde_json::json;
@@ -16,12 +16,12 @@
 #[test]
 fn request_is_sent_and_retried_with_times_to_the_microsecond() {
     let arrival = [attach(), catalog(3, &["backend_a"]), registry("Persisted", 3), request("r-1")];
-    let refused_connection = json!({"DONE": {
+    let failed_connect = json!({"DONE": {
         "ticket": "r-1", "backend": "backend_a", "finished": false, "timeTakenMs": 3.001,
         "ending": "econnrefused", "attempt": 0, "gauge": [1, 2],
     }});
     let first = batch(1, "358835696.557", &[(4, &arrival)]);
-    let second = batch(2, "358835699.558", &[(4, &[refused_connection.to_string()])]);
+    let second = batch(2, "358835699.558", &[(4, &[failed_connect.to_string()])]);
 
     let session = run_session(&(first + &second));
 
@@ -31,7 +31,7 @@
     assert_eq!(
         actions(&session.replies[1], "ROUTE"),
         [&expected],
-        "the only server is tried again, with the same deadline"
+        "the retry goes to the only server and has the same deadline"
     );
 }
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn new_incarnation_in_the_same_batch_does_not_act_for_the_old_one() {
+fn restart_within_a_batch_drops_the_old_actions_and_endpoints() {
     let start = batch(1, "10", &[(0, &[attach(), catalog(0, &["backend_a"]), registry("Complete", 0)])]);
     let restart = [request("old"), r#"{"RETIRE":{}}"#.into(), attach(), request("new")];
 
@@ -62,7 +62,7 @@
     assert_eq!(session.result, Ok(()));
     assert!(
         actions(&session.replies[1], "ROUTE").is_empty(),
-        "neither the old request nor the old list is known"
+        "the new instance has neither the request nor the endpoints of the old instance"
     );
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,8 @@
-//! The simulator's wire format: the types of its messages, without any handling of them.
+//! The simulator's wire format: types for the messages in JSON. This module only defines the types; it does
+//! not handle the messages.
 //!
-//! Types and fields have the names that `balancer_core` uses; serde attributes map them to the wire's names.
+//! Types and fields have the names that `balancer_core` uses. Serde attributes map these names to the names
+//! on the wire.
 
 mod action;
 mod batch;
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -1,104 +1,105 @@
-//! Wire format of actions.
+//! The wire format of actions.
 
 use serde::Serialize;
 
-/// The receiver of gossip that is sent to every other instance.
+/// The value of [`WireAction::Gossip::receiver`] for a message to all other instances.
 pub const ALL_PEERS: i64 = -1;
 
-/// An action of an instance, for the simulator to carry out.
+/// An action of an instance, to be carried out by the simulator.
 #[derive(Debug, PartialEq, Serialize)]
 pub enum WireAction {
-    /// Send an attempt of a request.
+    /// Send an attempt.
     #[serde(rename = "ROUTE")]
     Send {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ticket")]
         request_id: String,
-        /// The server's name.
+        /// The name of the server to send it to.
         #[serde(rename = "backend")]
         server: String,
-        /// When the attempt times out, in milliseconds.
+        /// The time at which the attempt times out, in milliseconds.
         #[serde(rename = "untilMs")]
         timeout_at_ms: f64,
     },
     /// Cancel an attempt.
     #[serde(rename = "ABANDON")]
     Cancel {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ticket")]
         request_id: String,
-        /// The attempt's number.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// Answer a request as rejected.
+    /// Reject a request as its final response.
     #[serde(rename = "OVERLOAD_REPLY")]
     Reject {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ticket")]
         request_id: String,
-        /// How long the client should wait before a retry, in milliseconds.
+        /// The delay after which the client should retry, in milliseconds; `None` if there is no advice for
+        /// the client.
         #[serde(rename = "notBeforeForMs")]
         retry_after_ms: Option<f64>,
     },
-    /// Answer a request as failed.
+    /// Fail a request as its final response.
     #[serde(rename = "ABORT")]
     Fail {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ticket")]
         request_id: String,
     },
     /// Set a timer.
     #[serde(rename = "TIMER")]
     SetTimer {
-        /// When it is due, in milliseconds.
+        /// The time at which the timer is due, in milliseconds.
         #[serde(rename = "atMs")]
         at_ms: f64,
-        /// The timer's number, which the event of the due timer repeats.
+        /// The number of the timer, which [`WireEvent::TimerDue`](super::WireEvent::TimerDue) repeats.
         #[serde(rename = "keyBack")]
         timer: u64,
     },
-    /// Send a health check.
+    /// Send a health check to a server.
     #[serde(rename = "HEALTH_CHECK")]
     CheckHealth {
-        /// The server's name.
+        /// The name of the server to check.
         #[serde(rename = "backend")]
         server: String,
     },
-    /// Close the idle connections to a server.
+    /// Close this instance's idle connections to a server.
     #[serde(rename = "CLOSE_IDLE")]
     CloseIdle {
-        /// The server's name.
+        /// The name of the server whose connections are closed.
         #[serde(rename = "backend")]
         server: String,
     },
-    /// Send gossip.
+    /// Send a gossip message to one other instance, or to all of them.
     #[serde(rename = "ANNOUNCE")]
     Gossip {
-        /// The receiver's number, or [`ALL_PEERS`].
+        /// The number of the receiving instance, or [`ALL_PEERS`].
         #[serde(rename = "to")]
         receiver: i64,
-        /// The payload, in hexadecimal digits.
+        /// The contents of the message, in hexadecimal.
         #[serde(rename = "raw")]
         payload: String,
     },
-    /// Start or stop watching the endpoint list.
+    /// Open or close a watch of the endpoint list.
     #[serde(rename = "FOLLOW")]
     WatchEndpoints {
-        /// Whether to start the watch.
+        /// Whether to open the watch. If false, it is closed.
         #[serde(rename = "active")]
         is_active: bool,
     },
-    /// Add a text to the simulator's report.
+    /// Add a message to the simulator's report.
     #[serde(rename = "NOTE_DOWN")]
     Log {
-        /// The text.
+        /// The text of the message.
         #[serde(rename = "what")]
         text: String,
     },
-    /// Report a bug in the decision code; the simulator stops and shows the text.
+    /// Report a bug in the decision code. The simulator stops and shows the text.
     #[serde(rename = "BUG")]
     ReportBug {
-        /// The text.
+        /// The description of the bug.
         #[serde(rename = "what")]
         text: String,
     },
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,33 +1,33 @@
-//! Wire format of events.
+//! The wire format of events.
 
 use balancer_settings::WireSettings;
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Bit of [`WireRequest::flags`]: the cost hint is valid.
+/// The bit of [`WireRequest::flags`] that marks the cost hint as valid.
 pub const FLAG_VALID_COST_HINT: u64 = 1;
-/// Bit of [`WireRequest::flags`]: the client marks the request as its own retry.
+/// The bit of [`WireRequest::flags`] that marks the request as a retry of the client's own.
 pub const FLAG_CLIENT_RETRY: u64 = 2;
 
-/// An event of an instance, or of the process.
+/// An event for an instance, or an endpoint list for all instances.
 #[derive(Debug, Deserialize)]
 pub enum WireEvent<'a> {
     /// The instance starts.
     #[serde(rename = "ATTACH")]
     Attach(WireAttach),
-    /// The instance ends, or restarts if another start follows.
+    /// The instance ends. A later [`WireEvent::Attach`] starts it again.
     #[serde(rename = "RETIRE")]
     Retire {},
-    /// An endpoint list, to which later events of all instances of the process refer by number.
+    /// An endpoint list, to which later events of all instances refer by its number.
     #[serde(rename = "CATALOG", borrow)]
     EndpointList(WireEndpointList<'a>),
-    /// An update from discovery.
+    /// The endpoint list has changed, or the watch of the list has failed.
     #[serde(rename = "REGISTRY")]
     EndpointUpdate(WireEndpointUpdate),
     /// A request has arrived.
     #[serde(rename = "REQUEST", borrow)]
     Request(WireRequest<'a>),
-    /// The first byte of a streamed response has arrived.
+    /// The response to a streaming request has begun.
     #[serde(rename = "FIRST_BYTE", borrow)]
     FirstByte(WireFirstByte<'a>),
     /// An attempt has ended.
@@ -36,27 +36,27 @@
     /// The client has disconnected.
     #[serde(rename = "ABORTED")]
     ClientDisconnected {
-        /// The request.
+        /// The id of the request.
         #[serde(borrow, rename = "ticket")]
         request_id: Cow<'a, str>,
     },
     /// A timer is due.
     #[serde(rename = "ELAPSED")]
     TimerDue {
-        /// The timer's number.
+        /// The number of the timer.
         #[serde(rename = "keyBack")]
         timer: u64,
     },
     /// A health check has ended.
     #[serde(rename = "PROBED", borrow)]
     HealthChecked(WireHealthChecked<'a>),
-    /// Gossip has arrived.
+    /// A gossip message has arrived from another instance.
     #[serde(rename = "MAIL", borrow)]
     Gossip(WireGossip<'a>),
 }
 
 impl WireEvent<'_> {
-    /// The event's name on the wire.
+    /// Returns the name of the event on the wire.
     pub fn name(&self) -> &'static str {
         match self {
             WireEvent::Attach(_) => "ATTACH",
@@ -74,24 +74,24 @@
     }
 }
 
-/// The start of an instance.
+/// The seed and settings of an instance that starts.
 #[derive(Debug, Deserialize)]
 pub struct WireAttach {
-    /// The seed of its random number generator.
+    /// The seed of the balancer's random number generator.
     #[serde(rename = "salt")]
     pub seed: u64,
-    /// Its settings.
+    /// The settings of the instance.
     #[serde(rename = "params")]
     pub settings: Box<WireSettings>,
 }
 
-/// An endpoint list under its number.
+/// An endpoint list and its number.
 #[derive(Debug, Deserialize)]
 pub struct WireEndpointList<'a> {
-    /// The list's number; a later list may replace this one under the same number.
+    /// The number of the list. A later list with the same number replaces this one.
     #[serde(rename = "ref")]
     pub list_number: u32,
-    /// The entries.
+    /// The entries of the list.
     #[serde(borrow, rename = "membersList")]
     pub endpoints: Vec<WireEndpoint<'a>>,
 }
@@ -99,124 +99,126 @@
 /// An entry of an endpoint list.
 #[derive(Debug, Deserialize)]
 pub struct WireEndpoint<'a> {
-    /// The server's name.
+    /// The name of the server.
     #[serde(borrow, rename = "backend")]
     pub server: Cow<'a, str>,
-    /// The server's zone.
+    /// The zone of the server.
     #[serde(rename = "campus", default)]
     pub zone: u32,
-    /// The server's kind of machine.
+    /// The machine kind of the server.
     #[serde(rename = "classOfHost", default)]
     pub machine_kind: u32,
-    /// The server's cell.
+    /// The cell of the server.
     #[serde(rename = "cluster", default)]
     pub cell: u32,
     /// Whether the server accepts requests.
     pub status: WireEndpointStatus,
-    /// The server's weight relative to the others.
+    /// A weight whose meaning depends on the setting [`EndpointWeights`](balancer_core::EndpointWeights).
     #[serde(rename = "units", default)]
     pub weight: Option<f64>,
-    /// When the server last started, in milliseconds; zero or absent if that was long ago.
+    /// When the server's process last started, in milliseconds; zero or absent if that was long ago.
     #[serde(rename = "lastStartMs", default)]
     pub started_at_ms: Option<f64>,
 }
 
-/// Whether a server accepts requests.
+/// Whether a server accepts requests, as the endpoint list states it.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum WireEndpointStatus {
-    /// It accepts them.
+    /// The server accepts requests.
     Serving,
-    /// It finishes its open requests and accepts no new ones.
+    /// The server completes the requests that it has and must not be sent new ones.
     Draining,
-    /// It is no longer in the list.
+    /// The server is no longer in the endpoint list.
     #[serde(rename = "DELETED")]
     Removed,
 }
 
-/// An update from discovery for one instance.
+/// A change of the endpoint list of one instance, or the failure to receive changes.
 #[derive(Debug, Deserialize)]
 pub struct WireEndpointUpdate {
-    /// How the list relates to the list before it.
+    /// How the update changes the endpoint list.
     pub form: WireUpdateForm,
-    /// The list's version. It is not used, but required.
+    /// The version of the endpoint list. The adapter does not use the version, but an event without one is
+    /// invalid.
     #[serde(rename = "rev")]
     pub _revision: i64,
-    /// The number of the list; without meaning if discovery has failed.
+    /// The number of the [`WireEndpointList`] that holds the endpoints. A failure needs no number.
     #[serde(rename = "ref", default)]
     pub list_number: Option<u32>,
 }
 
-/// How a list relates to the list before it.
+/// How an update changes the endpoint list of an instance.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum WireUpdateForm {
-    /// It holds only the changed entries.
+    /// The update holds only the entries that have changed.
     #[serde(rename = "Partial")]
     Changes,
-    /// It is complete.
+    /// The update holds the complete list.
     Complete,
-    /// It is complete, and was saved before a restart.
+    /// The update holds the complete list as it was cached before a restart. The list may be stale.
     #[serde(rename = "Persisted")]
     Cached,
-    /// There is no list: a call has failed or the watch has ended.
+    /// A poll failed or the watch broke. The update holds no list.
     #[serde(rename = "Error")]
     Failed,
 }
 
-/// A request that has arrived.
+/// A new request from a client.
 #[derive(Debug, Deserialize)]
 pub struct WireRequest<'a> {
-    /// The request's id.
+    /// The id of the request.
     #[serde(borrow, rename = "ticket")]
     pub request_id: Cow<'a, str>,
-    /// The tenant that sent it.
+    /// The index of the tenant that sent the request.
     #[serde(rename = "party", default)]
     pub tenant: Option<usize>,
-    /// The request's class.
+    /// The index of the request's class.
     #[serde(rename = "cls")]
     pub class: usize,
-    /// The object that it concerns.
+    /// The name of the object that the request concerns.
     #[serde(borrow, rename = "affinity", default)]
     pub routing_key: Option<Cow<'a, str>>,
-    /// An estimate of the work of the request, in milliseconds of core time; see [`FLAG_VALID_COST_HINT`].
+    /// The client's estimate of the request's work, as the milliseconds that one core needs for it. The
+    /// estimate is valid only if [`FLAG_VALID_COST_HINT`] is set.
     #[serde(rename = "estimateMs", default)]
     pub cost_hint_ms: Option<f64>,
-    /// A bit set: [`FLAG_VALID_COST_HINT`] and [`FLAG_CLIENT_RETRY`].
+    /// A set of the bits [`FLAG_VALID_COST_HINT`] and [`FLAG_CLIENT_RETRY`].
     #[serde(rename = "opts", default)]
     pub flags: Option<u64>,
-    /// How long the client still waits for an answer, in milliseconds.
+    /// How long the client still waits for the response, in milliseconds.
     #[serde(rename = "expiresInMs")]
     pub time_left_ms: f64,
 }
 
-/// The first byte of a streamed response.
+/// The beginning of the response to a streaming request.
 #[derive(Debug, Deserialize)]
 pub struct WireFirstByte<'a> {
-    /// The request.
+    /// The id of the request.
     #[serde(borrow, rename = "ticket")]
     pub request_id: Cow<'a, str>,
-    /// The attempt's number.
+    /// The number of the attempt whose response has begun.
     pub attempt: u32,
 }
 
 /// The end of an attempt.
 #[derive(Debug, Deserialize)]
 pub struct WireAttemptEnded<'a> {
-    /// The request.
+    /// The id of the request.
     #[serde(borrow, rename = "ticket")]
     pub request_id: Cow<'a, str>,
-    /// Whether the request has had its final answer.
+    /// Whether the client has received its final response.
     #[serde(rename = "finished")]
     pub is_request_finished: bool,
     /// The time since the attempt was sent, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub elapsed_ms: f64,
-    /// How it ended.
+    /// How the attempt ended.
     #[serde(rename = "ending")]
     pub outcome: WireOutcome,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// The server's load report.
+    /// The values of the server's load report, if one was received.
     #[serde(rename = "gauge", default)]
     pub load_report: Option<Vec<f64>>,
 }
@@ -224,16 +226,16 @@
 /// The end of a health check.
 #[derive(Debug, Deserialize)]
 pub struct WireHealthChecked<'a> {
-    /// The server's name.
+    /// The name of the server that was checked.
     #[serde(borrow, rename = "backend")]
     pub server: Cow<'a, str>,
-    /// How it ended.
+    /// How the check ended.
     #[serde(rename = "ending")]
     pub outcome: WireOutcome,
     /// The time since the check was sent, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub elapsed_ms: f64,
-    /// The server's load report.
+    /// The values of the server's load report, if one was received.
     #[serde(rename = "gauge", default)]
     pub load_report: Option<Vec<f64>>,
 }
@@ -241,39 +243,39 @@
 /// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum WireOutcome {
-    /// The request was served.
+    /// The server served the request.
     #[serde(rename = "done")]
     Success,
-    /// The server answered with an error.
+    /// The server responded with an error. The request may have run.
     #[serde(rename = "err")]
     ServerError,
-    /// The server rejected the request without processing it.
+    /// The server rejected the request. It did not run.
     #[serde(rename = "busy")]
     Rejected,
-    /// There was no answer in time.
+    /// No response came in time. The request may have run or may still be running.
     #[serde(rename = "etimedout")]
     TimedOut,
-    /// No connection was established in time.
+    /// No connection could be established in time. The request did not run.
     #[serde(rename = "econnrefused")]
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke. The request may have run.
     #[serde(rename = "econnreset")]
     ConnectionReset,
-    /// It was cancelled.
+    /// The attempt was cancelled. The request may have run.
     #[serde(rename = "ecanceled")]
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     #[serde(rename = "skipped")]
     NotSent,
 }
 
-/// Gossip from another instance.
+/// A gossip message from another instance.
 #[derive(Debug, Deserialize)]
 pub struct WireGossip<'a> {
-    /// The sender's number.
+    /// The number of the instance that sent the message.
     #[serde(rename = "srcPeer")]
     pub sender: u32,
-    /// The payload, in hexadecimal digits.
+    /// The contents of the message, in hexadecimal.
     #[serde(borrow, rename = "raw")]
     pub payload: Cow<'a, str>,
 }
--- a/crates/simulator-adapter/src/wire_identifiers.rs
+++ b/crates/simulator-adapter/src/wire_identifiers.rs
@@ -1,13 +1,13 @@
-//! What the simulator calls the servers and requests that one balancer knows by number.
+//! The identifiers that the simulator uses for the servers and requests of one balancer.
 
 use crate::request_id_map::RequestIdMap;
 use balancer_settings::ServerNames;
 
-/// The wire's identifiers of one balancer's servers and requests.
+/// Maps the wire identifiers of one balancer's servers and requests to the balancer's ids and back.
 #[derive(Debug, Default)]
 pub struct WireIdentifiers {
-    /// The names of the servers.
+    /// The names and ids of the servers.
     pub servers: ServerNames,
-    /// The ids of the requests.
+    /// The wire ids of the requests and their ids in the balancer.
     pub requests: RequestIdMap,
 }
