--- a/.ci/imports_test.py
+++ b/.ci/imports_test.py
@@ -1,4 +1,4 @@
-"""Tests of the import check on made-up crates."""
+"""Tests of the check for import cycles, on made-up crates."""
 
 import os
 import sys
@@ -21,24 +21,24 @@
         self.repository = Path(folder.name)
 
     def check(self, sources):
-        """Writes the source files of a crate, by their names below src/, and runs the check."""
+        """Writes the source files of a crate, given by their names in src/, and runs the check."""
         for name, text in sources.items():
             file = self.repository / "crates/sample/src" / name
             file.parent.mkdir(parents=True, exist_ok=True)
             file.write_text(text, encoding="utf-8")
         imports.main(self.repository)
 
-    def assert_refused(self, sources, *expected):
-        with self.assertRaises(SystemExit) as refusal:
+    def assert_check_fails(self, sources, *expected):
+        with self.assertRaises(SystemExit) as error:
             self.check(sources)
         for text in expected:
-            self.assertIn(text, str(refusal.exception))
+            self.assertIn(text, str(error.exception))
 
     def assert_cycle(self, sources, *files):
         steps = [f"src/{a} -> crates/sample/src/{b}" for a, b in zip(files, [*files[1:], files[0]])]
-        self.assert_refused(sources, "files that import each other:", *steps)
+        self.assert_check_fails(sources, "import cycle:", *steps)
 
-    def test_imports_one_way_pass(self):
+    def test_imports_without_a_cycle_pass(self):
         self.check({
             "lib.rs": "mod a; mod b; mod c; pub use a::A;",
             "a.rs": "use crate::b::B; use crate::c::C; pub struct A(B, C);",
@@ -56,7 +56,7 @@
             "a.rs", "b.rs",
         )
 
-    def test_cycle_through_other_files_is_named_whole(self):
+    def test_every_file_of_a_cycle_is_reported(self):
         self.assert_cycle(
             {
                 "lib.rs": "mod a; mod b; mod c;",
@@ -67,8 +67,8 @@
             "a.rs", "b.rs", "c.rs",
         )
 
-    def test_every_separate_cycle_is_named(self):
-        self.assert_refused(
+    def test_every_separate_cycle_is_reported(self):
+        self.assert_check_fails(
             {
                 "lib.rs": "mod a; mod b; mod c; mod d;",
                 "a.rs": "use crate::b::B; pub struct A;",
@@ -117,7 +117,7 @@
             "parent.rs", "parent/child.rs",
         )
 
-    def test_reexport_of_a_module_that_is_not_below_is_an_import(self):
+    def test_reexport_from_a_module_that_is_not_a_descendant_is_an_import(self):
         self.assert_cycle(
             {
                 "lib.rs": "mod a; mod b;",
@@ -139,7 +139,7 @@
                 fn borrow<'a>(text: &'a str) -> &'a str { text }""",
         })
 
-    def test_lifetimes_hide_no_import(self):
+    def test_lifetime_is_not_taken_for_a_character_literal(self):
         self.assert_cycle(
             {
                 "lib.rs": "mod a; mod b;",
@@ -155,10 +155,10 @@
             "a.rs": "pub struct A; #[cfg(test)]\nmod tests;",
         })
 
-    def test_sources_that_cannot_be_followed_are_refused(self):
-        self.assert_refused({"lib.rs": "mod a;", "a.rs": "use super::*;"}, "wildcard import")
-        self.assert_refused({"lib.rs": "mod a { }"}, "module a has no file")
-        self.assert_refused({"lib.rs": "mod absent;"}, "module absent has no file")
+    def test_unsupported_import_or_module_is_an_error(self):
+        self.assert_check_fails({"lib.rs": "mod a;", "a.rs": "use super::*;"}, "wildcard import")
+        self.assert_check_fails({"lib.rs": "mod a { }"}, "module a has no file")
+        self.assert_check_fails({"lib.rs": "mod absent;"}, "module absent has no file")
 
 
 if __name__ == "__main__":
--- a/.ci/log_lines_test.py
+++ b/.ci/log_lines_test.py
@@ -1,4 +1,4 @@
-"""Tests of the check that log lines are on the operations page."""
+"""Tests of the check that the operations page contains every log line, on made-up sources and pages."""
 
 import sys
 import tempfile
@@ -13,15 +13,16 @@
 
 SOURCE = '''
 #[error("cannot open {path}: {cause}")]
-eprintln!("{name}: opened the door");
+eprintln!("{name}: opened the connection");
 eprintln!(
-    "{name}: closed the door");
-let text = format!("an inner text");
+    "{name}: closed the connection");
+let text = format!("an internal text");
 '''
 
 
 class LogLinesTest(unittest.TestCase):
-    def check(self, source, page, file_name="door.rs"):
+    def check(self, source, page, file_name="connection.rs"):
+        """Runs the check on a repository with one source file of the agent and the operations page."""
         with tempfile.TemporaryDirectory() as folder:
             repository = Path(folder)
             for name, text in {f"crates/balancer-agent/src/{file_name}": source, "docs/operations.md": page}.items():
@@ -30,25 +31,25 @@
                 file.write_text(text, encoding="utf-8")
             log_lines.main(repository)
 
-    def assert_refused(self, source, page, expected, file_name="door.rs"):
-        with self.assertRaises(SystemExit) as refusal:
+    def assert_check_fails(self, source, page, expected, file_name="connection.rs"):
+        with self.assertRaises(SystemExit) as error:
             self.check(source, page, file_name)
-        self.assertIn(expected, str(refusal.exception))
+        self.assertIn(expected, str(error.exception))
 
     def test_page_with_every_line_passes(self):
-        self.check(SOURCE, "`cannot open FILE: CAUSE`, `N: opened the\ndoor`, `N: closed the door`")
+        self.check(SOURCE, "`cannot open FILE: CAUSE`, `N: opened the\nconnection`, `N: closed the connection`")
 
-    def test_each_kind_of_line_that_the_page_lacks_is_named(self):
-        page = "`N: opened the door`"
-        self.assert_refused(SOURCE, page, "cannot open")
-        self.assert_refused(SOURCE, page, "closed the door")
+    def test_each_kind_of_log_line_that_is_not_on_the_page_is_reported(self):
+        page = "`N: opened the connection`"
+        self.assert_check_fails(SOURCE, page, "cannot open")
+        self.assert_check_fails(SOURCE, page, "closed the connection")
 
-    def test_only_the_notices_module_words_lines_with_format(self):
+    def test_format_calls_are_checked_only_in_the_notice_module(self):
         source = 'format!("server {name} ejected")'
         self.check(source, "")
-        self.assert_refused(source, "", "ejected", file_name="notice_text.rs")
+        self.assert_check_fails(source, "", "ejected", file_name="notice_text.rs")
 
-    def test_short_parts_are_passed_over(self):
+    def test_short_parts_are_ignored(self):
         self.check('eprintln!("{name}: {error}; is")', "")
 
 
