--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -31,7 +31,7 @@
 /// servers itself.
 #[derive(Debug)]
 pub struct ListedEndpoint {
-    /// The name of the server. All instances share the memory of the string.
+    /// The name of the server. It is stored once for all instances.
     pub name: Rc<str>,
     zone: ZoneId,
     machine_kind: MachineKindId,
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -18,7 +18,7 @@
     /// The instance ends. A later [`WireEvent::Attach`] starts it again.
     #[serde(rename = "RETIRE")]
     Retire {},
-    /// An endpoint list, to which later events of all instances refer by its number.
+    /// A new endpoint list. Later events of any instance can refer to the list by its number.
     #[serde(rename = "CATALOG", borrow)]
     EndpointList(WireEndpointList<'a>),
     /// The endpoint list has changed, or the watch of the list has failed.
