--- a/crates/balancer-agent/src/clock.rs
+++ b/crates/balancer-agent/src/clock.rs
@@ -1,14 +1,16 @@
-//! The balancer's clock.
+//! The clock of the agent, which gives the balancer its time.
 
 use balancer_core::{Span, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The latest instant is this long after the start, about 35 years: adding much more to an instant overflows.
+/// The longest time after the start that is converted to an instant, about 35 years. Adding much more to an
+/// instant would overflow.
 const MAX_OFFSET: Span = Span::from_micros(1 << 50);
 
-/// Unix time when the agent started, advanced by the monotonic clock. Its times can be compared with the start
-/// times of servers, and a step of the system clock does not move any deadline.
+/// A clock that shows Unix time. It reads the system clock once, at the start, and advances with the
+/// monotonic clock. Its times can be compared with the start times of servers, and a step of the system clock
+/// does not move any deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -16,7 +18,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock {
@@ -25,18 +27,18 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.time_of(Instant::now())
     }
 
-    /// The time of an instant.
+    /// Converts an instant to a time. An instant before the start of the clock gives the time of the start.
     pub fn time_of(&self, instant: Instant) -> Time {
         let offset = instant.saturating_duration_since(self.started_at);
         self.unix_time_at_start + Span::from_micros(offset.as_micros() as u64)
     }
 
-    /// The instant of a time.
+    /// Converts a time to an instant. A time before the start of the clock gives the instant of the start.
     pub fn instant_of(&self, time: Time) -> Instant {
         let offset = time.since(self.unix_time_at_start).min(MAX_OFFSET);
         self.started_at + Duration::from_micros(offset.as_micros())
--- a/crates/balancer-agent/src/config.rs
+++ b/crates/balancer-agent/src/config.rs
@@ -1,5 +1,5 @@
-//! The agent's configuration at its start: the `PROXY_*` variables and the file that `PROXY_CONFIG` names
-//! (DEPLOY page, "What an agent is told").
+//! The agent's configuration, read at the start from the `PROXY_*` environment variables and from the file
+//! whose path is in `PROXY_CONFIG` (DEPLOY page, "What an agent is told").
 
 use crate::endpoint_list::EndpointList;
 use balancer_core::{DiscoveryMode, Settings, SettingsError};
@@ -8,72 +8,72 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The limit on file descriptors if the configuration sets none. It suits small machines.
+/// The limit on file descriptors if the configuration sets none. The value suits small machines.
 const DEFAULT_SOCKETS: usize = 1024;
-/// The lowest limit on file descriptors that the agent can serve with.
+/// The lowest limit on file descriptors with which the agent can serve requests.
 const MIN_SOCKETS: usize = 80;
-/// The highest limit on file descriptors that the agent makes use of.
+/// The highest limit on file descriptors. A higher limit in the configuration is reduced to this value.
 const MAX_SOCKETS: usize = 1 << 20;
 /// The agent's name if the configuration sets none.
 const DEFAULT_NAME: &str = "agent";
-/// The variable with the path of the configuration file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// The variable with the address that the agent listens on.
+/// The environment variable with the address that the agent listens on.
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
-/// The variable with the address of discovery.
+/// The environment variable with the address of discovery.
 const DISCOVERY_VARIABLE: &str = "PROXY_DISCOVERY";
-/// The variable with the agent's name.
+/// The environment variable with the agent's name.
 const NAME_VARIABLE: &str = "PROXY_NAME";
 
-/// Why the agent cannot use a configuration.
+/// An error in the agent's configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A required variable is set neither in the environment nor in the file.
+    /// A required value is set neither by its environment variable nor in the file.
     #[error("{variable} is not set")]
     MissingVariable {
-        /// The variable.
+        /// The environment variable.
         variable: &'static str,
     },
-    /// The file cannot be read.
+    /// The configuration file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error that reading the file returned.
         source: std::io::Error,
     },
-    /// The file's content is not a configuration.
+    /// The content of the file is not a valid configuration.
     #[error("{} is not a valid configuration: {source}", path.display())]
     Malformed {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Where in the file, and what was expected.
+        /// The parse error, with its position in the file.
         source: serde_json::Error,
     },
-    /// The file has no discovery address.
+    /// The file contains no discovery address.
     #[error("the configuration file has no discovery address")]
     MissingDiscovery,
-    /// A value is not an address.
+    /// A value is not a valid socket address.
     #[error("{key} is {value:?}, which is not an address (IP:port)")]
     BadAddress {
-        /// The variable or key.
+        /// The environment variable, or the key in the file.
         key: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: String,
     },
-    /// The balancer cannot work with the settings.
+    /// The balancer does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A class has no name, so that no request can belong to it.
+    /// A request class has no name, so no request can specify it.
     #[error("class {class} of the settings has no name")]
     UnnamedClass {
-        /// Its index, from 0.
+        /// The index of the class, counted from 0.
         class: usize,
     },
     /// The limit on file descriptors is too low.
     #[error("limits.sockets is below {MIN_SOCKETS}, the least that the agent can serve with")]
     TooFewSockets,
-    /// The cached endpoint list cannot be parsed.
+    /// The cached endpoint list in the file cannot be parsed.
     #[error("known is not an endpoint list")]
     BadEndpointList,
 }
@@ -81,25 +81,25 @@
 /// The agent's configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The agent's name, for its log.
+    /// The agent's name in log lines.
     pub name: String,
-    /// Where the agent accepts the application's connections.
+    /// The address on which the agent accepts connections of the application.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of the balancer's random numbers.
+    /// The seed of the balancer's random number generator.
     pub seed: u64,
-    /// Most file descriptors that the process may hold.
+    /// The maximum number of file descriptors that the process may hold.
     pub max_sockets: usize,
     /// The balancer's settings.
     pub settings: Settings,
-    /// The settings that the balancer does not need: names, and limits of sockets.
+    /// The settings that the host of the balancer needs: names and connection timeouts.
     pub host_settings: HostSettings,
-    /// The endpoint list to start with, until discovery sends one.
+    /// The endpoint list that the agent uses until discovery sends one.
     pub cached_endpoints: EndpointList,
 }
 
-/// The part of the configuration file that the agent reads.
+/// The keys of the configuration file that the agent reads. Other keys are ignored.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -117,15 +117,16 @@
     settings: WireSettings,
 }
 
-/// The limits of the process.
+/// The resource limits of the process.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Limits {
+    /// The maximum number of file descriptors.
     sockets: Option<usize>,
 }
 
 impl ConfigFile {
-    /// Reads the file that `PROXY_CONFIG` names.
+    /// Reads the file whose path is in `PROXY_CONFIG`.
     fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let missing = ConfigError::MissingVariable { variable: CONFIG_VARIABLE };
         let path = variable(CONFIG_VARIABLE).map(PathBuf::from).ok_or(missing)?;
@@ -142,22 +143,22 @@
 }
 
 /// Reads the address of discovery from the configuration file, which may have been replaced since the start.
-/// `PROXY_DISCOVERY` applies to the start only and does not override it.
+/// Unlike at the start, `PROXY_DISCOVERY` does not override the address in the file.
 ///
 /// # Errors
 ///
-/// If the file cannot be read or has no such address.
+/// Returns an error if the file cannot be read or contains no valid discovery address.
 pub fn read_discovery_address(variable: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
     let value = ConfigFile::read(variable)?.discovery.ok_or(ConfigError::MissingDiscovery)?;
     parse_address("discovery", value)
 }
 
 impl Config {
-    /// Loads the configuration from the variables and the file.
+    /// Loads the configuration from the environment variables and the file.
     ///
     /// # Errors
     ///
-    /// The first fault that is found, in one line for the operator.
+    /// Returns the first error that is found. Its message is one line for the operator.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         Self::from_file(ConfigFile::read(&variable)?, variable)
     }
@@ -170,7 +171,7 @@
         let listen = address(LISTEN_VARIABLE, file.listen)?;
         let discovery = address(DISCOVERY_VARIABLE, file.discovery)?;
         let host_settings = HostSettings::from(&file.settings);
-        let settings = socket_settings(Settings::from(&file.settings), &host_settings);
+        let settings = adapt_to_sockets(Settings::from(&file.settings), &host_settings);
         settings.check()?;
         check_class_names(&host_settings)?;
         Ok(Config {
@@ -201,29 +202,31 @@
     Ok(sockets.min(MAX_SOCKETS))
 }
 
-/// Parses the cached endpoint list; without one the agent starts with an empty list.
-fn parse_cached_endpoints(known: &serde_json::Value) -> Result<EndpointList, ConfigError> {
-    if known.is_null() {
+/// Parses the cached endpoint list. Returns an empty list if the file contains none.
+fn parse_cached_endpoints(value: &serde_json::Value) -> Result<EndpointList, ConfigError> {
+    if value.is_null() {
         return Ok(EndpointList::default());
     }
-    EndpointList::parse(known).ok_or(ConfigError::BadEndpointList)
+    EndpointList::parse(value).ok_or(ConfigError::BadEndpointList)
 }
 
-/// Adapts the settings to real sockets.
-fn socket_settings(settings: Settings, host_settings: &HostSettings) -> Settings {
+/// Adapts the balancer's settings to a host with real sockets.
+fn adapt_to_sockets(settings: Settings, host_settings: &HostSettings) -> Settings {
     Settings {
-        // Changes of the endpoint list arrive only while a watch is open.
+        // Changes to the endpoint list arrive only while a watch is open.
         discovery_mode: DiscoveryMode::OnRequest,
-        // Changes count as notified even while no watch is open, so a broken watch must be reopened well within
-        // the drain grace, however often it breaks.
+        // The protocol assumes that the agent is notified of changes even while no watch is open. A broken
+        // watch must therefore be reopened well within the drain grace, however often it breaks.
         max_poll_interval: settings.max_poll_interval.min(settings.drain_grace),
-        // In the simulator connections open or fail at once, so the setting reaches the balancer only here.
+        // The JSON settings do not set this field for the balancer, because connections in the simulator open
+        // or fail immediately.
         connect_timeout: host_settings.connect_timeout,
         ..settings
     }
 }
 
-/// A seed from any text: hexadecimal numbers, as the deployment writes them, by value; other text by its hash.
+/// Converts a text to a seed. A hexadecimal number, as the deployment writes it, gives its value. Any other
+/// text gives its hash.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_name(text))
 }
--- a/crates/balancer-agent/src/config/tests.rs
+++ b/crates/balancer-agent/src/config/tests.rs
@@ -1,17 +1,17 @@
-//! What is read from the variables and the file, and which configurations are rejected.
+//! Tests of the precedence of environment variables and the file, and of the errors in configurations.
 
 use super::*;
 
 const SETTINGS: &str = r#"{"classes":[{"name":"a","aimMs":100,"deadlineMs":200,"effect":"idempotent"}]}"#;
 
-/// Loads a configuration file's text with `PROXY_LISTEN` set.
+/// Loads a configuration from the text of a file, with `PROXY_LISTEN` set to `listen`.
 fn load(text: &str, listen: &str) -> Result<Config, ConfigError> {
     let file = serde_json::from_str(text).expect("a configuration file");
     Config::from_file(file, |name| (name == "PROXY_LISTEN").then(|| listen.to_owned()))
 }
 
 fn load_error(text: &str, listen: &str) -> String {
-    load(text, listen).expect_err("an invalid configuration").to_string()
+    load(text, listen).expect_err("the configuration is invalid").to_string()
 }
 
 #[test]
--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -1,7 +1,8 @@
-//! Watching the endpoint list.
+//! Watches the endpoint list of the discovery service.
 //!
-//! The balancer decides when to begin a watch, and when to begin again after a failure
-//! ([`balancer_core::Action::WatchEndpoints`]). Between these, this module repeats the watch's calls.
+//! A watch is a series of calls to discovery, each of which waits for changes of the list. The balancer
+//! decides when a watch starts, and when it starts again after a failure
+//! ([`balancer_core::Action::WatchEndpoints`]). This module makes the calls of the watch.
 
 use crate::endpoint_list::EndpointList;
 use crate::http_client::{connect, start_http, ConnectionTask};
@@ -16,59 +17,61 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// How long discovery may hold a call until the list changes. It is short, so that a discovery that has become
-/// unreachable is noticed soon.
+/// How long a call may wait at discovery until the list changes. A longer wait would delay the detection of a
+/// discovery service that has become unreachable.
 const MAX_CALL_WAIT: Duration = Duration::from_secs(5);
-/// A call that is not answered this long after discovery's wait has failed. Changes count as notified 2 s after
-/// the wait (PROTOCOL page, "Figures"), and the next call must have been made by then.
+/// How long after its wait at discovery a call times out. The protocol assumes that the agent is notified of
+/// a change 2 s after the wait at the latest (PROTOCOL page, "Figures"), so the next call must start before
+/// that.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Most bytes of a list. A parsed list may take ten times its encoded size, and the process may have no more
-/// than 32 MB of memory.
+/// The maximum encoded size of a list, in bytes. A parsed list may take ten times its encoded size, and the
+/// process may have no more than 32 MB of memory.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// Handles the events of a watch.
+/// A handler of the events of a watch.
 pub trait WatchListener {
-    /// Handles a new list, or the end of the watch.
+    /// Handles a new list or the failure of the watch.
     fn handle_watch_event(self: Rc<Self>, event: WatchEvent);
 }
 
 /// An event of a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchEvent {
-    /// The complete list, or changes since the one before.
+    /// Discovery sent the complete list, or the changes since the previous list.
     Endpoints(EndpointList),
-    /// A call failed, and the watch has ended.
+    /// A call failed, which ended the watch.
     Failed,
 }
 
 /// The discovery service, and at most one watch of its endpoint list.
 pub struct Discovery {
     address: SocketAddr,
-    /// The version of the last list; `None` if this service has sent none, as each counts its own versions.
+    /// The version of the last list from this address, or `None` if there has been none. Each discovery
+    /// service counts its own versions.
     list_version: Option<u64>,
     watch: Option<JoinHandle<()>>,
 }
 
 impl Discovery {
-    /// A discovery service that is not watched yet.
+    /// Creates a discovery service that is not being watched.
     pub fn new(address: SocketAddr) -> Self {
         Discovery { address, list_version: None, watch: None }
     }
 
-    /// Changes the service's address. The watch at the old address ends, and its connection is closed.
+    /// Changes the address of the service. Ends the watch at the old address and closes its connection.
     pub fn relocate(&mut self, address: SocketAddr) {
         self.address = address;
         self.list_version = None;
         self.stop_watch();
     }
 
-    /// Records the version of the last list, from which the next watch continues.
+    /// Records the version of the last list. The next watch continues from this version.
     pub fn record_version(&mut self, version: u64) {
         self.list_version = Some(version);
     }
 
-    /// Begins a watch for changes after the last recorded version, in place of the present watch, if any.
-    /// Without a recorded version it begins with the complete list.
+    /// Starts a watch for changes after the last recorded version. Without a recorded version, the watch
+    /// begins with the complete list. A watch that is already open is replaced.
     pub fn watch(&mut self, listener: Rc<impl WatchListener + 'static>) {
         self.stop_watch();
         self.watch = Some(tokio::task::spawn_local(run_watch(self.address, listener, self.list_version)));
@@ -81,13 +84,13 @@
     }
 }
 
-/// Calls discovery again as soon as the last call is answered, until one fails.
+/// Makes one call to discovery after another, without a delay, until a call fails.
 async fn run_watch(address: SocketAddr, listener: Rc<impl WatchListener>, mut version: Option<u64>) {
     let mut client = DiscoveryClient { address, connection: None };
     loop {
         let list = match version {
             Some(version) => client.changes_after(version).await,
-            // Changes are of no use without the list that they refer to.
+            // Changes cannot be applied without the list that they refer to.
             None => client.complete_list().await.filter(|list| list.is_complete),
         };
         let Some(list) = list else {
@@ -99,7 +102,7 @@
     }
 }
 
-/// An open connection to discovery; dropping it closes it.
+/// An open connection to discovery. Dropping the value closes the connection.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     _task: ConnectionTask,
@@ -112,19 +115,19 @@
 }
 
 impl DiscoveryClient {
-    /// Fetches the complete list; `None` if the call fails.
+    /// Fetches the complete list. Returns `None` if the call fails.
     async fn complete_list(&mut self) -> Option<EndpointList> {
         self.call("/v1/endpoints", Duration::ZERO).await
     }
 
-    /// Waits for the changes after a version; `None` if the call fails.
+    /// Waits for the changes after a version. Returns `None` if the call fails.
     async fn changes_after(&mut self, version: u64) -> Option<EndpointList> {
         let path = format!("/v1/endpoints?after={version}&wait_ms={}", MAX_CALL_WAIT.as_millis());
         self.call(&path, MAX_CALL_WAIT).await
     }
 
-    /// Makes a call that discovery may hold for `wait`; `None` if it fails. If discovery is cut off, its
-    /// connection stays open without any answer, so a missing answer is a failure too.
+    /// Makes a call that may wait at discovery for `wait`. Returns `None` if the call fails or times out. The
+    /// timeout detects a network partition, in which the connection stays open but no response arrives.
     async fn call(&mut self, path: &str, wait: Duration) -> Option<EndpointList> {
         let mut connection = self.connection.take();
         let list = timeout(wait + CALL_TIMEOUT, self.exchange(&mut connection, path)).await.ok()??;
@@ -132,7 +135,7 @@
         Some(list)
     }
 
-    /// Sends one request and reads the answer, over the connection given or, if that is closed, a new one.
+    /// Sends one request and reads the response. Opens a new connection if there is none or if it is closed.
     async fn exchange(&self, connection: &mut Option<Connection>, path: &str) -> Option<EndpointList> {
         connection.take_if(|connection| connection.sender.is_closed());
         let connection = match connection {
@@ -149,6 +152,7 @@
         EndpointList::parse(&serde_json::from_slice(&body).ok()?)
     }
 
+    /// Opens a connection to discovery, or returns `None` if that fails.
     async fn open(&self) -> Option<Connection> {
         let stream = connect(self.address).await.ok()?;
         let http = start_http(&Builder::new(), TokioIo::new(stream)).await.ok()?;
--- a/crates/balancer-agent/src/discovery/tests.rs
+++ b/crates/balancer-agent/src/discovery/tests.rs
@@ -1,20 +1,21 @@
-//! When a call that discovery does not answer fails.
+//! Tests of the timeout of calls to discovery.
 
 use super::*;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// The longest time that the balancer waits before it reopens a broken watch.
+/// The longest delay before the balancer reopens a broken watch.
 const MAX_REOPEN_DELAY: Duration = Duration::from_millis(350);
-/// Changes count as notified this long after the wait of an unanswered call. Requests to a removed server must
-/// end one drain grace later, so the next call must have been made by then.
-const COUNTS_AS_NOTIFIED_AFTER: Duration = Duration::from_secs(2);
+/// The protocol assumes that the agent is notified of a change this long after the wait of a call, even if
+/// the call gets no response. Requests to a removed server must end one drain grace later, so the next call
+/// must have started by then.
+const ASSUMED_NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
 
 #[tokio::test(start_paused = true)]
-async fn an_unanswered_call_fails_in_time_to_call_again_before_changes_count_as_notified() {
-    let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = silent.local_addr().expect("an address");
+async fn a_call_without_a_response_times_out_in_time_for_the_next_call() {
+    let silent_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = silent_listener.local_addr().expect("an address");
     let mut client = DiscoveryClient { address, connection: None };
     let started_at = Instant::now();
 
@@ -22,6 +23,9 @@
 
     let failed_after = started_at.elapsed();
     assert_eq!(list, None);
-    assert!(failed_after >= MAX_CALL_WAIT, "not while discovery may hold the call: {failed_after:?}");
-    assert!(failed_after + MAX_REOPEN_DELAY <= MAX_CALL_WAIT + COUNTS_AS_NOTIFIED_AFTER, "{failed_after:?}");
+    assert!(failed_after >= MAX_CALL_WAIT, "the call failed during its wait: {failed_after:?}");
+    assert!(
+        failed_after + MAX_REOPEN_DELAY <= MAX_CALL_WAIT + ASSUMED_NOTIFICATION_DELAY,
+        "{failed_after:?}"
+    );
 }
--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -1,9 +1,9 @@
-//! The driver owns the [`Balancer`]: it queues what happens on the sockets as events, and carries out the
+//! The driver connects the [`Balancer`] to real sockets. It passes events to the balancer and carries out the
 //! actions that the balancer returns.
 //!
-//! It decides nothing itself. All of it runs on one thread, so an event is handled and its actions are carried
-//! out before anything else happens. An action never calls back into the balancer: its results are queued as
-//! events.
+//! The balancer makes all decisions. The driver runs on one thread, so the actions of an event are carried
+//! out before the next event is handled. Carrying out an action never calls the balancer directly: the
+//! results of the action are queued as events.
 
 mod endpoint_watch;
 mod event_queue;
@@ -17,7 +17,7 @@
 use crate::discovery::{WatchEvent, WatchListener};
 use crate::endpoint_list::EndpointList;
 use crate::request::{ClientRequest, SubmittedRequest};
-use crate::upstream::{AttemptOutcome, ConnectionPool, PoolLimits, ServerClient};
+use crate::upstream::{AttemptResult, ConnectionPool, PoolLimits, ServerClient};
 use balancer_core::{
     Action, Balancer, ClassId, Effect, Endpoint, EndpointUpdate, Event, Notice, RequestId, ServerId,
     SettingsError, Span,
@@ -36,14 +36,14 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How often connections that have been idle for too long are closed.
+/// The interval at which connections that have been idle for too long are closed.
 const CLOSE_STALE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Drives the balancer.
+/// Runs a balancer: queues its events, carries out its actions, and tracks the requests in progress.
 pub struct Driver {
     clock: Clock,
     host_settings: HostSettings,
-    /// The effect of each class.
+    /// The effect of each request class, indexed by [`ClassId`].
     effects: Vec<Effect>,
     events: RefCell<EventQueue>,
     timers: Timers,
@@ -52,22 +52,22 @@
     client: ServerClient,
 }
 
-/// When an attempt is given up.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy)]
 struct AttemptDeadlines {
-    /// The attempt times out then.
+    /// The moment at which the attempt times out.
     timeout_at: Instant,
-    /// Its last byte must be written by then.
+    /// The deadline for writing the last byte of the attempt, if there is one.
     write_by: Option<Instant>,
 }
 
 impl Driver {
-    /// Starts a driver with the configuration's cached endpoint list. It opens at most `max_connections`
-    /// connections to servers.
+    /// Creates a driver that starts with the cached endpoint list of the configuration and holds at most
+    /// `max_connections` connections to servers at a time.
     ///
     /// # Errors
     ///
-    /// If the balancer cannot work with the settings.
+    /// Returns an error if the balancer does not accept the settings.
     pub fn start(config: Config, max_connections: usize) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
         let host_settings = config.host_settings;
@@ -98,22 +98,22 @@
         Ok(driver)
     }
 
-    /// The settings that the balancer does not need: names, and limits of sockets.
+    /// Returns the settings that the host of the balancer needs: names and connection timeouts.
     pub fn host_settings(&self) -> &HostSettings {
         &self.host_settings
     }
 
-    /// The effect of running a request of a class more than once.
+    /// Returns the effect of processing a request of this class more than once.
     pub fn effect_of(&self, class: ClassId) -> Effect {
         self.effects[class.0]
     }
 
-    /// Whether there is a server that accepts new work.
+    /// Returns whether the endpoint list contains a server that accepts new requests.
     pub fn is_ready(&self) -> bool {
-        self.client.pool().has_server()
+        self.client.pool().has_serving_server()
     }
 
-    /// Submits a request to the balancer.
+    /// Submits a request to the balancer. The returned handle receives the final response.
     pub fn submit(self: &Rc<Self>, request: ClientRequest) -> SubmittedRequest {
         let request = Rc::new(request);
         let time_left = self.clock.time_of(request.deadline).since(self.clock.now());
@@ -122,7 +122,8 @@
         submitted
     }
 
-    /// Closes a request whose client has disconnected or is not kept waiting any longer.
+    /// Closes a request that needs no final response any more, because the client has disconnected or the
+    /// agent has stopped waiting. Has no effect on a request that is already closed.
     pub fn disconnect(self: &Rc<Self>, request: RequestId) {
         let was_pending = self.requests.borrow_mut().disconnect(request);
         if was_pending {
@@ -130,13 +131,13 @@
         }
     }
 
-    /// Watches the endpoint list at another address from now on, beginning with the complete list. The servers
-    /// that are known stay in use until that list arrives.
+    /// Changes the address of discovery and starts a watch there, which begins with the complete endpoint
+    /// list. The known servers stay in use until that list arrives.
     pub fn relocate_discovery(self: &Rc<Self>, address: SocketAddr) {
         self.endpoint_watch.borrow_mut().relocate(address, self.clone());
     }
 
-    /// Wakes the balancer when a timer is due, and closes stale connections; never ends.
+    /// Passes due timers to the balancer and closes stale connections. Never returns.
     pub async fn run(self: Rc<Self>) {
         let mut next_close = Instant::now() + CLOSE_STALE_INTERVAL;
         loop {
@@ -163,8 +164,8 @@
         self.handle_events();
     }
 
-    /// Has the balancer handle the queued events in order, and carries out what it decides on each before the
-    /// next.
+    /// Lets the balancer handle the queued events in order. The actions of each event are carried out before
+    /// the next event is handled.
     fn handle_events(self: &Rc<Self>) {
         let mut actions = Vec::new();
         while self.events.borrow_mut().handle_next(self.clock.now(), &mut actions) {
@@ -194,51 +195,51 @@
             Action::CheckHealth { server } => self.check_health(server),
             Action::CloseIdle { server } => self.client.pool().close_idle(server),
             Action::WatchEndpoints => self.endpoint_watch.borrow_mut().start(self.clone()),
-            // Agents of this deployment have no way to talk to each other, and the settings say so.
+            // Agents cannot exchange messages, and the settings of a deployment disable gossip.
             Action::Gossip { .. } => {}
             Action::Notify(notice) => self.log_notice(&notice),
         }
     }
 
-    /// Sends an attempt in a task of its own.
+    /// Sends an attempt to a server in a separate task.
     fn send(self: &Rc<Self>, request: RequestId, server: ServerId, deadlines: AttemptDeadlines) {
         let AttemptDeadlines { timeout_at, write_by } = deadlines;
         let Some(attempt) = self.requests.borrow_mut().start_attempt(request, write_by) else { return };
         let sent_at = Instant::now();
-        let wait = timeout_at.saturating_duration_since(sent_at);
-        let outgoing = outgoing_request(&attempt.request, wait);
+        let time_left = timeout_at.saturating_duration_since(sent_at);
+        let outgoing = outgoing_request(&attempt.request, time_left);
         let driver = self.clone();
         spawn_local(async move {
-            let ended = driver.client.send_attempt(server, outgoing, timeout_at, &attempt.progress).await;
-            driver.end_attempt(attempt.id, ended, elapsed_since(sent_at));
+            let result = driver.client.send_attempt(server, outgoing, timeout_at, &attempt.progress).await;
+            driver.end_attempt(attempt.id, result, elapsed_since(sent_at));
         });
     }
 
-    /// Records the end of an attempt and hands it to the balancer.
-    fn end_attempt(self: &Rc<Self>, id: AttemptId, ended: AttemptOutcome, elapsed: Span) {
-        self.requests.borrow_mut().end_attempt(id, ended.outcome, ended.answer);
+    /// Records the result of an attempt and reports the outcome to the balancer.
+    fn end_attempt(self: &Rc<Self>, id: AttemptId, result: AttemptResult, elapsed: Span) {
+        self.requests.borrow_mut().end_attempt(id, result.outcome, result.response);
         let is_request_finished = !self.requests.borrow().is_pending(id.request);
         self.handle_event(Event::AttemptEnded {
             request: id.request,
             attempt: id.attempt,
-            outcome: ended.outcome,
+            outcome: result.outcome,
             elapsed,
-            load_report: ended.load_report,
+            load_report: result.load_report,
             is_request_finished,
         });
     }
 
-    /// Checks a server's health in a task of its own.
+    /// Sends a health check to a server in a separate task.
     fn check_health(self: &Rc<Self>, server: ServerId) {
         let driver = self.clone();
         spawn_local(async move {
             let sent_at = Instant::now();
-            let checked = driver.client.check_health(server).await;
+            let result = driver.client.check_health(server).await;
             driver.handle_event(Event::HealthChecked {
                 server,
-                outcome: checked.outcome,
+                outcome: result.outcome,
                 elapsed: elapsed_since(sent_at),
-                load_report: checked.load_report,
+                load_report: result.load_report,
             });
         });
     }
@@ -248,7 +249,8 @@
         eprintln!("{}", notice_text(notice, endpoint_watch.server_names()));
     }
 
-    /// Updates where the servers of a list are reached, and returns the list in the balancer's terms.
+    /// Applies a received endpoint list to the connection pool, and returns its entries as the balancer
+    /// expects them.
     fn update_servers(&self, list: &EndpointList) -> Vec<Endpoint> {
         let pool = self.client.pool();
         self.endpoint_watch.borrow_mut().update_servers(list, &self.host_settings, pool)
--- a/crates/balancer-agent/src/driver/endpoint_watch.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Watching the endpoint list, and translating it into the balancer's terms.
+//! Watches the endpoint list and translates its entries into the balancer's types.
 
 mod server_list;
 mod server_names;
@@ -15,35 +15,37 @@
 use std::rc::Rc;
 use translation::translate;
 
-/// The watch of the endpoint list, and the numbers of the servers that it names.
+/// The watch of the endpoint list, and the ids of the servers in the list.
 pub struct EndpointWatch {
     discovery: Discovery,
     names: RetainedServerNames,
 }
 
 impl EndpointWatch {
-    /// A watch that has not begun.
+    /// Creates a watch that has not been started.
     pub fn new(discovery_address: SocketAddr) -> Self {
         EndpointWatch { discovery: Discovery::new(discovery_address), names: RetainedServerNames::default() }
     }
 
-    /// Begins to watch for changes of the last list, or for a complete list if there has been none.
+    /// Starts the watch. It begins with the changes since the last received list, or with the complete list
+    /// if none has been received.
     pub fn start(&mut self, listener: Rc<impl WatchListener + 'static>) {
         self.discovery.watch(listener);
     }
 
-    /// Begins to watch at another address, from a complete list on.
+    /// Changes the address of discovery and starts a watch there, which begins with the complete list.
     pub fn relocate(&mut self, address: SocketAddr, listener: Rc<impl WatchListener + 'static>) {
         self.discovery.relocate(address);
         self.discovery.watch(listener);
     }
 
-    /// The names and numbers of the servers.
+    /// Returns the names and ids of the servers.
     pub fn server_names(&self) -> &RetainedServerNames {
         &self.names
     }
 
-    /// Updates where the servers of a list are reached, and returns the list in the balancer's terms.
+    /// Applies a received list to the server names and the connection pool, and returns its entries as the
+    /// balancer expects them.
     pub fn update_servers(
         &mut self,
         list: &EndpointList,
--- a/crates/balancer-agent/src/driver/endpoint_watch/server_list.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_list.rs
@@ -1,12 +1,12 @@
-//! The endpoint list in the balancer's terms.
+//! The endpoint list in the balancer's types.
 
 use balancer_core::{Endpoint, ServerId};
 use std::collections::HashSet;
 
-/// A complete list, or the changes of one, with numbers in place of names.
+/// A complete endpoint list, or the entries that have changed, with ids in place of names.
 pub struct ServerList {
-    /// An endpoint for each entry of the list, in its order.
+    /// One endpoint for each entry of the list, in the order of the list.
     pub endpoints: Vec<Endpoint>,
-    /// The servers that a complete list names; `None` if the list holds only changes.
+    /// The servers in a complete list; `None` if the list contains only changes.
     pub all_servers: Option<HashSet<ServerId>>,
 }
--- a/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
@@ -1,4 +1,4 @@
-//! Numbers for the names of servers.
+//! The ids of the servers in the endpoint list.
 
 use super::server_list::ServerList;
 use balancer_core::{EndpointStatus, ServerId};
@@ -8,22 +8,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a server's name keeps its number after the server was removed. It is longer than the balancer
-/// remembers the number, so that a new server whose name hashes to the same number is not mistaken for the
+/// How long the id of a removed server stays reserved for its name. This is longer than the balancer keeps
+/// the state of a removed server: a new server whose name hashes to the same id must not be mistaken for the
 /// removed one.
 const NAME_RETENTION: Duration = Duration::from_secs(30);
 
-/// The names and numbers of the servers that the endpoint list names, or named until a short time ago.
+/// Maps the names of servers to their ids and back. Contains the servers in the endpoint list and the
+/// recently removed servers.
 #[derive(Default)]
 pub struct RetainedServerNames {
     names: ServerNames,
-    /// When each server that is no longer listed was removed.
+    /// When each server that is no longer in the list was removed.
     removed_at: HashMap<ServerId, Instant>,
 }
 
 impl RetainedServerNames {
-    /// The number of a server. The first use of a name is logged with its number.
-    pub fn number(&mut self, name: &str) -> ServerId {
+    /// Returns the id of the server with this name. An unknown name is assigned an id, which is logged.
+    pub fn intern(&mut self, name: &str) -> ServerId {
         if let Some(server) = self.names.find(name) {
             return server;
         }
@@ -32,13 +33,13 @@
         server
     }
 
-    /// The name of a server; `None` if it was forgotten.
+    /// Returns the name of the server with this id, or `None` if the name has been forgotten.
     pub fn name(&self, server: ServerId) -> Option<&str> {
         self.names.name(server).map(AsRef::as_ref)
     }
 
-    /// Records which servers a new list names and which it removes, and forgets the names of servers that were
-    /// removed longer ago than [`NAME_RETENTION`].
+    /// Records which servers a new list contains and which servers it removes, and forgets the names of
+    /// servers that were removed at least [`NAME_RETENTION`] ago.
     pub fn record_list(&mut self, list: &ServerList) {
         let now = Instant::now();
         for endpoint in &list.endpoints {
--- a/crates/balancer-agent/src/driver/endpoint_watch/server_names/tests.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_names/tests.rs
@@ -1,4 +1,4 @@
-//! How long the names of removed servers are retained.
+//! Tests of how long the names of removed servers are retained.
 
 use super::*;
 use std::collections::HashSet;
@@ -9,10 +9,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_name_of_a_removed_server_is_forgotten_after_its_retention() {
+async fn the_name_of_a_removed_server_is_forgotten_after_the_retention_time() {
     let mut names = RetainedServerNames::default();
-    let listed = names.number("listed");
-    let removed = names.number("removed");
+    let listed = names.intern("listed");
+    let removed = names.intern("removed");
 
     names.record_list(&complete_list(listed));
     advance(NAME_RETENTION / 2).await;
--- a/crates/balancer-agent/src/driver/notice_text.rs
+++ b/crates/balancer-agent/src/driver/notice_text.rs
@@ -1,9 +1,9 @@
-//! The log lines for the balancer's notices to the operators.
+//! Formats the balancer's notices as log lines.
 
 use super::endpoint_watch::RetainedServerNames;
 use balancer_core::{Notice, ServerId};
 
-/// One line for a notice, with the names of servers in place of their numbers.
+/// Returns a log line for a notice, with the names of servers in place of their ids.
 pub fn notice_text(notice: &Notice, names: &RetainedServerNames) -> String {
     match notice {
         Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
@@ -12,12 +12,12 @@
             latency_ratio.value(),
             fleet_median.value()
         ),
-        // The enum may get more variants than this agent knows.
+        // `Notice` is non-exhaustive: the balancer may add variants that have no text here.
         _ => format!("{notice:?}"),
     }
 }
 
-/// A server's name, or its number if its name has been forgotten.
+/// Returns the name of a server, or its id if the name has been forgotten.
 fn name_of(server: ServerId, names: &RetainedServerNames) -> String {
     names.name(server).map_or_else(|| format!("number {}", server.0), str::to_owned)
 }
--- a/crates/balancer-agent/src/driver/notice_text/tests.rs
+++ b/crates/balancer-agent/src/driver/notice_text/tests.rs
@@ -1,4 +1,4 @@
-//! The wording of notices.
+//! Tests of the log lines for notices.
 
 use super::*;
 use balancer_core::{EjectionReason, LatencyRatio};
@@ -15,7 +15,7 @@
 #[test]
 fn an_ejection_names_the_server_as_the_endpoint_list_does() {
     let mut names = RetainedServerNames::default();
-    let server = names.number("north-7");
+    let server = names.intern("north-7");
 
     let text = notice_text(&ejection_of(server), &names);
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_ejection_of_a_server_whose_name_is_forgotten_states_its_number() {
+fn an_ejection_of_a_server_whose_name_is_forgotten_states_its_id() {
     let text = notice_text(&ejection_of(ServerId(42)), &RetainedServerNames::default());
 
     assert!(text.starts_with("server number 42 ejected (slow)"), "{text}");
--- a/crates/balancer-agent/src/driver/requests.rs
+++ b/crates/balancer-agent/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of clients and their attempts.
+//! Tracks the requests of clients and the attempts that are sent for them.
 
 mod attempts;
 mod pending;
@@ -17,16 +17,19 @@
 
 /// An attempt that is ready to be sent.
 pub struct StartedAttempt {
-    /// Its identity.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// The request that is to be sent.
+    /// The client's request.
     pub request: Rc<ClientRequest>,
-    /// Its progress, which the sending task updates.
+    /// The progress of the attempt, which the sending task updates.
     pub progress: Rc<AttemptProgress>,
 }
 
-/// Gives each request its one final answer, and knows its attempts. When a request closes, its attempts that
-/// are not written completely are cancelled.
+/// Tracks pending requests and the attempts in flight.
+///
+/// A request is pending from [`RequestTracker::open`] until it is closed, by its final response or because
+/// its client has disconnected. The client receives at most one final response. When a request is closed, its
+/// attempts that have not been written completely are cancelled.
 #[derive(Default)]
 pub struct RequestTracker {
     pending: PendingRequests,
@@ -34,67 +37,70 @@
 }
 
 impl RequestTracker {
-    /// Adds a request.
+    /// Adds a request, which is pending from now on.
     pub fn open(&mut self, request: Rc<ClientRequest>) -> SubmittedRequest {
         self.pending.open(request)
     }
 
-    /// Whether a request's answer is pending.
+    /// Returns whether a request is pending.
     pub fn is_pending(&self, id: RequestId) -> bool {
         self.pending.contains(id)
     }
 
-    /// Closes a request whose client has disconnected. Returns false if it was closed already.
+    /// Closes a request whose client has disconnected. Returns `false` if the request was closed already.
     pub fn disconnect(&mut self, id: RequestId) -> bool {
         self.close(id).is_some()
     }
 
-    /// Answers a request with a rejection.
+    /// Rejects a request as its final response.
     pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>) {
-        self.answer(id, FinalAnswer::Rejected { retry_after });
+        self.respond(id, FinalAnswer::Rejected { retry_after });
     }
 
-    /// Answers a request with a failure. The status tells whether its last attempt timed out.
+    /// Fails a request as its final response. The status code states whether the last attempt timed out.
     pub fn fail(&mut self, id: RequestId) {
         let has_timed_out = self.pending.last_attempt_timed_out(id);
         let status = if has_timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-        self.answer(id, FinalAnswer::Failed(status));
+        self.respond(id, FinalAnswer::Failed(status));
     }
 
-    /// Starts the next attempt of a request, whose last byte must be written by `write_by` if that is set.
-    /// Returns `None` if the request is closed.
+    /// Starts the next attempt of a request. If `write_by` is set, it is the deadline for writing the last
+    /// byte of the attempt. Returns `None` if the request is closed.
     pub fn start_attempt(&mut self, id: RequestId, write_by: Option<Instant>) -> Option<StartedAttempt> {
         let next = self.pending.next_attempt(id)?;
         let progress = self.attempts.start(next.id, write_by);
         Some(StartedAttempt { id: next.id, request: next.request, progress })
     }
 
-    /// Cancels an attempt, if it is in flight.
+    /// Cancels an attempt if it is in flight.
     pub fn cancel_attempt(&self, id: AttemptId) {
         self.attempts.cancel(id);
     }
 
-    /// Records the end of an attempt. The first answer that a server gives is the request's answer.
-    pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, answer: Option<ServedAnswer>) {
+    /// Records the end of an attempt. The first successful response of a server becomes the request's
+    /// final response.
+    pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, response: Option<ServedAnswer>) {
         self.attempts.end(id);
         self.pending.record_attempt_outcome(id.request, outcome);
-        if let Some(answer) = answer {
-            self.answer(id.request, FinalAnswer::Served(answer));
+        if let Some(response) = response {
+            self.respond(id.request, FinalAnswer::Served(response));
         }
     }
 
-    fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
-        if let Some(receiver) = self.close(id) {
-            // If the client has just disconnected, nobody receives the answer.
-            let _ = receiver.send(answer);
+    /// Closes a request and sends its final response, unless it was closed already.
+    fn respond(&mut self, id: RequestId, response: FinalAnswer) {
+        if let Some(response_sender) = self.close(id) {
+            // Sending fails if the client has just disconnected. The response is not needed then.
+            let _ = response_sender.send(response);
         }
     }
 
-    /// Removes a request and returns where its answer is to be sent; `None` if it was closed already.
+    /// Removes a request and returns the sender for its final response, or `None` if the request was closed
+    /// already.
     fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalAnswer>> {
         let closed = self.pending.remove(id)?;
         self.attempts.cancel_unwritten(id, closed.attempts_started);
-        Some(closed.answer)
+        Some(closed.response_sender)
     }
 }
 
--- a/crates/balancer-agent/src/driver/requests/attempts.rs
+++ b/crates/balancer-agent/src/driver/requests/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that are in flight.
+//! The attempts in flight.
 
 use crate::upstream::AttemptProgress;
 use balancer_core::{AttemptNumber, RequestId};
@@ -6,41 +6,42 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Identifies an attempt among those that the driver has sent.
+/// Identifies an attempt among all attempts that the driver has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number among the attempts of the request.
+    /// The number of the attempt among the attempts of the request.
     pub attempt: AttemptNumber,
 }
 
-/// The progress of each attempt whose outcome is not known yet. The attempts of a closed request are among
-/// them: their outcomes still matter to the balancer.
+/// The progress of the attempts in flight. Attempts of closed requests are included, because the balancer
+/// needs their outcomes as well.
 #[derive(Default)]
 pub struct AttemptsInFlight {
     progress: HashMap<AttemptId, Rc<AttemptProgress>>,
 }
 
 impl AttemptsInFlight {
-    /// Adds an attempt, whose last byte must be written by `write_by` if that is set.
+    /// Adds an attempt and returns its progress. If `write_by` is set, it is the deadline for writing the
+    /// last byte of the attempt.
     pub fn start(&mut self, id: AttemptId, write_by: Option<Instant>) -> Rc<AttemptProgress> {
         let progress = Rc::new(AttemptProgress::new(write_by));
         self.progress.insert(id, progress.clone());
         progress
     }
 
-    /// Cancels an attempt, if it is in flight.
+    /// Cancels an attempt if it is in flight.
     pub fn cancel(&self, id: AttemptId) {
         if let Some(progress) = self.progress.get(&id) {
             progress.cancel();
         }
     }
 
-    /// Cancels those of a request's first `attempts` attempts that have not been written completely, and so
-    /// have not run. The others go on.
-    pub fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
-        for attempt in (0..attempts).map(AttemptNumber) {
+    /// Cancels the attempts of a request that have not been written completely: no server has run them. The
+    /// other attempts continue. `attempts_started` is the number of attempts that the request has had so far.
+    pub fn cancel_unwritten(&self, request: RequestId, attempts_started: u32) {
+        for attempt in (0..attempts_started).map(AttemptNumber) {
             let progress = self.progress.get(&AttemptId { request, attempt });
             if let Some(progress) = progress.filter(|progress| !progress.may_have_run()) {
                 progress.cancel();
--- a/crates/balancer-agent/src/driver/requests/pending.rs
+++ b/crates/balancer-agent/src/driver/requests/pending.rs
@@ -1,4 +1,4 @@
-//! The requests whose answers are pending.
+//! The requests that have had no final response yet.
 
 use super::attempts::AttemptId;
 use crate::request::{ClientRequest, FinalAnswer, SubmittedRequest};
@@ -7,31 +7,31 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request whose answer is pending.
+/// The state of a pending request.
 struct PendingRequest {
     request: Rc<ClientRequest>,
-    answer: oneshot::Sender<FinalAnswer>,
+    response_sender: oneshot::Sender<FinalAnswer>,
     attempts_started: u32,
     last_attempt_timed_out: bool,
 }
 
 /// A request that is no longer pending.
 pub struct ClosedRequest {
-    /// Where its answer is to be sent.
-    pub answer: oneshot::Sender<FinalAnswer>,
-    /// The number of attempts that were started for it.
+    /// The sender for the final response.
+    pub response_sender: oneshot::Sender<FinalAnswer>,
+    /// The number of attempts that were started for the request.
     pub attempts_started: u32,
 }
 
 /// An attempt that is about to be sent.
 pub struct NextAttempt {
-    /// Its identity.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// Its request.
+    /// The client's request.
     pub request: Rc<ClientRequest>,
 }
 
-/// The requests whose answers are pending.
+/// The pending requests, by id.
 #[derive(Default)]
 pub struct PendingRequests {
     next_id: u64,
@@ -39,33 +39,37 @@
 }
 
 impl PendingRequests {
-    /// Adds a request.
+    /// Adds a request and assigns an id to it. The returned handle receives the final response.
     pub fn open(&mut self, request: Rc<ClientRequest>) -> SubmittedRequest {
-        let (answer, receiver) = oneshot::channel();
+        let (response_sender, receiver) = oneshot::channel();
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let pending = PendingRequest { request, answer, attempts_started: 0, last_attempt_timed_out: false };
+        let pending =
+            PendingRequest { request, response_sender, attempts_started: 0, last_attempt_timed_out: false };
         self.requests.insert(id, pending);
         SubmittedRequest { id, answer: receiver }
     }
 
-    /// Whether a request is pending.
+    /// Returns whether a request is pending.
     pub fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// Whether a request is pending and its last attempt timed out.
+    /// Returns whether a request is pending and its last attempt timed out.
     pub fn last_attempt_timed_out(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|pending| pending.last_attempt_timed_out)
     }
 
-    /// Removes a request; `None` if it was not pending.
+    /// Removes a request, or returns `None` if it was not pending.
     pub fn remove(&mut self, id: RequestId) -> Option<ClosedRequest> {
         let removed = self.requests.remove(&id)?;
-        Some(ClosedRequest { answer: removed.answer, attempts_started: removed.attempts_started })
+        Some(ClosedRequest {
+            response_sender: removed.response_sender,
+            attempts_started: removed.attempts_started,
+        })
     }
 
-    /// Numbers the next attempt of a request; `None` if the request is not pending.
+    /// Assigns a number to the next attempt of a request, or returns `None` if the request is not pending.
     pub fn next_attempt(&mut self, id: RequestId) -> Option<NextAttempt> {
         let pending = self.requests.get_mut(&id)?;
         let attempt = AttemptNumber(pending.attempts_started);
@@ -73,7 +77,7 @@
         Some(NextAttempt { id: AttemptId { request: id, attempt }, request: pending.request.clone() })
     }
 
-    /// Records the outcome of an attempt of a request, if that is pending.
+    /// Records the outcome of an attempt. Has no effect if the request is not pending.
     pub fn record_attempt_outcome(&mut self, id: RequestId, outcome: Outcome) {
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.last_attempt_timed_out = outcome == Outcome::TimedOut;
--- a/crates/balancer-agent/src/driver/requests/tests.rs
+++ b/crates/balancer-agent/src/driver/requests/tests.rs
@@ -1,4 +1,4 @@
-//! One answer for each request, and the attempts of closed requests.
+//! Tests that each request gets one final response, and tests of the attempts of closed requests.
 
 use super::*;
 use balancer_core::{AttemptNumber, ClassId};
@@ -21,9 +21,9 @@
 }
 
 fn status_of(mut submitted: SubmittedRequest) -> StatusCode {
-    match submitted.answer.try_recv().expect("an answer") {
+    match submitted.answer.try_recv().expect("a response") {
         FinalAnswer::Failed(status) => status,
-        FinalAnswer::Served(_) | FinalAnswer::Rejected { .. } => panic!("not a failure"),
+        FinalAnswer::Served(_) | FinalAnswer::Rejected { .. } => panic!("the request did not fail"),
     }
 }
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_status_of_a_failure_tells_whether_the_last_attempt_timed_out() {
+fn the_status_of_a_failure_states_whether_the_last_attempt_timed_out() {
     for (outcome, status) in [
         (Outcome::TimedOut, StatusCode::GATEWAY_TIMEOUT),
         (Outcome::ConnectionReset, StatusCode::BAD_GATEWAY),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_closed_request_is_neither_answered_again_nor_attempted_again() {
+fn a_closed_request_gets_no_second_response_and_no_other_attempt() {
     let mut tracker = RequestTracker::default();
     let submitted = tracker.open(request());
     let id = submitted.id;
--- a/crates/balancer-agent/src/driver/timers.rs
+++ b/crates/balancer-agent/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! The balancer's timers.
+//! The timers that the balancer has set.
 
 use crate::clock::Clock;
 use balancer_core::{Time, TimerId};
@@ -8,16 +8,16 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// Timers that are set, soonest first.
+/// The pending timers, ordered by the time at which they are due.
 #[derive(Default)]
 pub struct Timers {
     pending: RefCell<BinaryHeap<Reverse<(Time, TimerId)>>>,
-    /// Notified when a timer is set that is due before all others.
+    /// Notified when a new timer is due before all others.
     soonest_changed: Notify,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer that is due at `at`. A timer cannot be cancelled.
     pub fn set(&self, at: Time, timer: TimerId) {
         let is_soonest = self.next_due().is_none_or(|next| at < next);
         self.pending.borrow_mut().push(Reverse((at, timer)));
@@ -26,15 +26,15 @@
         }
     }
 
-    /// Removes and returns the next timer, if it is due.
+    /// Removes and returns the next timer, or returns `None` if no timer is due.
     pub fn pop_due(&self, now: Time) -> Option<TimerId> {
         self.next_due().filter(|at| *at <= now)?;
         let Reverse((_, timer)) = self.pending.borrow_mut().pop()?;
         Some(timer)
     }
 
-    /// Waits until a timer is due, or until `latest` if none is due before that. Also returns when a timer is
-    /// set that is due before all others.
+    /// Waits until the next timer is due, but not after `latest`. Also returns when a timer is set that is
+    /// due before all others.
     pub async fn wait(&self, clock: &Clock, latest: Instant) {
         let next_due = self.next_due().map(|at| clock.instant_of(at));
         let wake_at = next_due.map_or(latest, |next_due| next_due.min(latest));
--- a/crates/balancer-agent/src/driver/timers/tests.rs
+++ b/crates/balancer-agent/src/driver/timers/tests.rs
@@ -1,4 +1,4 @@
-//! The order of timers, and what wakes their owner.
+//! Tests of the order of timers and of the events that end a wait.
 
 use super::*;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 
     let set_timer = async { timers.set(clock.time_of(started_at + SOON), TimerId::LoadPollTimeout) };
     tokio::join!(timers.wait(&clock, started_at + LATEST), set_timer);
-    assert!(started_at.elapsed() < SOON, "it ends at once");
+    assert!(started_at.elapsed() < SOON, "the wait ends immediately");
 
     timers.wait(&clock, started_at + LATEST).await;
     assert!(started_at.elapsed() >= SOON);
--- a/crates/balancer-agent/src/endpoint_list.rs
+++ b/crates/balancer-agent/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it (PROTOCOL page, "Discovery").
+//! The endpoint list in the form in which discovery sends it (PROTOCOL page, "Discovery").
 
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -6,49 +6,49 @@
 /// A complete endpoint list, or the entries that have changed since an earlier one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Whether it is complete.
+    /// Whether the list is complete; if not, it contains only the entries that have changed.
     pub is_complete: bool,
-    /// Its entries, in the order in which they were sent.
+    /// The entries, in the order in which they were sent.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// The entry of one server.
+/// The entry of one server in the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Its name, the same at every agent.
+    /// The name of the server, which is the same for every agent.
     pub name: String,
-    /// Its address; may be absent unless the server is up.
+    /// The address of the server. Always present if the status is [`EntryStatus::Serving`].
     pub address: Option<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the server's zone; empty if the entry states none.
     pub zone: String,
-    /// The name of its kind of machine.
+    /// The name of the server's machine kind; empty if the entry states none.
     pub machine_kind: String,
-    /// Its cell.
+    /// The cell of the server.
     pub cell: u32,
-    /// Whether it accepts work.
-    pub health: EndpointHealth,
-    /// Its size relative to the other servers.
+    /// Whether the server accepts requests.
+    pub status: EntryStatus,
+    /// The size of the server relative to the other servers.
     pub weight: f64,
-    /// When its process last started, in Unix milliseconds; 0 for long ago.
+    /// When the server's process last started, in Unix milliseconds; 0 means long ago.
     pub started_at_ms: f64,
 }
 
-/// Whether a server accepts work.
+/// Whether a server accepts requests, as its entry in the endpoint list states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointHealth {
-    /// It accepts work.
-    Up,
-    /// It finishes the requests that it has and accepts no others.
+pub enum EntryStatus {
+    /// The server accepts requests.
+    Serving,
+    /// The server completes the requests that it has and accepts no new ones.
     Draining,
-    /// It has left the fleet.
+    /// The server has been removed from the fleet.
     Removed,
 }
 
 impl EndpointList {
-    /// Parses a list; `None` if the value is not a list. Entries that are invalid are skipped, so that the
-    /// others can be used.
+    /// Parses a list. Returns `None` if the value is not an endpoint list. Skips invalid entries, so that the
+    /// other entries can be used.
     pub fn parse(value: &Value) -> Option<Self> {
         let entries = value.get("hosts")?.as_array()?;
         Some(EndpointList {
@@ -60,13 +60,14 @@
 }
 
 impl EndpointEntry {
+    /// Parses an entry, or returns `None` if the entry is invalid.
     fn parse(value: &Value) -> Option<Self> {
         let text = |key: &str| value.get(key).and_then(Value::as_str);
         let number = |key: &str| value.get(key).and_then(Value::as_f64);
         let cell = value.get("block").and_then(Value::as_u64);
-        let health = EndpointHealth::parse(text("health")?)?;
+        let status = EntryStatus::parse(text("health")?)?;
         let address = text("dial").and_then(|address| address.parse().ok());
-        if address.is_none() && health == EndpointHealth::Up {
+        if address.is_none() && status == EntryStatus::Serving {
             return None;
         }
         Some(EndpointEntry {
@@ -75,19 +76,19 @@
             zone: text("site").unwrap_or_default().to_owned(),
             machine_kind: text("class").unwrap_or_default().to_owned(),
             cell: cell.and_then(|cell| u32::try_from(cell).ok()).unwrap_or(0),
-            health,
+            status,
             weight: number("share").unwrap_or(1.0),
             started_at_ms: number("born_ms").unwrap_or(0.0),
         })
     }
 }
 
-impl EndpointHealth {
+impl EntryStatus {
     fn parse(text: &str) -> Option<Self> {
         match text {
-            "up" => Some(EndpointHealth::Up),
-            "draining" => Some(EndpointHealth::Draining),
-            "removed" => Some(EndpointHealth::Removed),
+            "up" => Some(EntryStatus::Serving),
+            "draining" => Some(EntryStatus::Draining),
+            "removed" => Some(EntryStatus::Removed),
             _ => None,
         }
     }
--- a/crates/balancer-agent/src/endpoint_list/tests.rs
+++ b/crates/balancer-agent/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Which endpoint lists and entries are accepted.
+//! Tests of which endpoint lists and entries are valid.
 
 use super::*;
 use serde_json::json;
--- a/crates/balancer-agent/src/http_client.rs
+++ b/crates/balancer-agent/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Opening HTTP/1.1 connections, to servers and to discovery.
+//! Opens HTTP/1.1 connections to servers and to discovery.
 
 use hyper::body::Body;
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// The task that drives a connection; dropping this ends the task and closes the connection.
+/// The task that drives a connection. Dropping the value ends the task and closes the connection.
 pub struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -18,31 +18,31 @@
     }
 }
 
-/// A connected socket that speaks HTTP/1.1.
+/// An open HTTP/1.1 connection.
 pub struct HttpConnection<RequestBody> {
-    /// Sends requests over it.
+    /// Sends requests over the connection.
     pub sender: SendRequest<RequestBody>,
-    /// Drives it; must be kept for as long as the connection is used.
+    /// Drives the connection. The task must be kept for as long as the connection is used.
     pub task: ConnectionTask,
 }
 
-/// Connects a socket without delaying small writes.
+/// Connects a TCP socket and sets `TCP_NODELAY`, so that small writes are sent without a delay.
 ///
 /// # Errors
 ///
-/// If no connection can be made.
+/// Returns an error if no connection can be established.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    // Without the option the connection works, but may be slower.
+    // An error is ignored: the connection works without the option, but may be slower.
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
 
-/// Starts HTTP/1.1 on a connected socket.
+/// Starts HTTP/1.1 on a connected socket and spawns the task that drives the connection.
 ///
 /// # Errors
 ///
-/// If the connection ends at once.
+/// Returns an error if hyper cannot start the connection.
 pub async fn start_http<Socket, RequestBody>(
     builder: &Builder,
     socket: Socket,
@@ -55,7 +55,8 @@
 {
     let (sender, connection) = builder.handshake(socket).await?;
     let task = tokio::task::spawn_local(async move {
-        // The sender and the count of written bytes tell how the connection ended.
+        // The result is not needed: the sender reports errors, and the count of written bytes shows how much
+        // was sent.
         let _ = connection.await;
     });
     Ok(HttpConnection { sender, task: ConnectionTask(task) })
--- a/crates/balancer-agent/src/upstream.rs
+++ b/crates/balancer-agent/src/upstream.rs
@@ -1,7 +1,8 @@
 //! Connections to servers, and the attempts and health checks that are sent over them.
 //!
-//! A connection carries one exchange at a time and is reused only after a complete answer. If an exchange ends
-//! in any other way (a timeout, a cancellation, an error), its connection is closed.
+//! An exchange is one request and its response. A connection carries one exchange at a time and is reused
+//! only after a complete response. If an exchange ends in any other way (a timeout, a cancellation, an
+//! error), its connection is closed.
 
 mod attempt;
 mod client;
@@ -10,11 +11,11 @@
 mod request_on_wire;
 mod response;
 
-pub use attempt::{AttemptOutcome, AttemptProgress};
+pub use attempt::{AttemptProgress, AttemptResult};
 pub use client::ServerClient;
 pub use pool::{ConnectionPool, PoolLimits};
 
-/// Most bytes of a request's or an answer's body (PROTOCOL page).
+/// The maximum size of the body of a request or a response, in bytes (PROTOCOL page).
 pub const MAX_BODY: usize = 64 << 10;
-/// Most bytes of an answer's head, and of hyper's buffers.
-const MAX_HEAD: usize = 16 << 10;
+/// The maximum size of the head of a response and of each of hyper's buffers, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/crates/balancer-agent/src/upstream/attempt.rs
+++ b/crates/balancer-agent/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt's progress, which its task and the driver share, and its outcome.
+//! The progress and the result of an attempt.
 
 use super::request_on_wire::RequestOnWire;
 use crate::request::ServedAnswer;
@@ -7,19 +7,21 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How far an attempt has been written, and whether it has been cancelled.
+/// How far an attempt has been written, and whether it has been cancelled. The driver and the task that sends
+/// the attempt share this state.
 #[derive(Default)]
 pub struct AttemptProgress {
-    /// Its last byte must be written by then, if this is set.
+    /// The deadline for writing the last byte of the attempt, if there is one.
     write_by: Option<Instant>,
-    /// Its request on a connection; `None` until it has one.
+    /// The request on its connection; `None` until a connection has been acquired.
     request: RefCell<Option<RequestOnWire>>,
     is_cancelled: Cell<bool>,
     cancelled: Notify,
 }
 
 impl AttemptProgress {
-    /// An attempt that has not begun. If it is not written completely by `write_by`, the rest is not written.
+    /// Creates the progress of an attempt that has not been started. Bytes that have not been written by
+    /// `write_by` are never written.
     pub fn new(write_by: Option<Instant>) -> Self {
         AttemptProgress { write_by, ..AttemptProgress::default() }
     }
@@ -30,12 +32,12 @@
         *self.request.borrow_mut() = Some(request);
     }
 
-    /// Whether the server may have run the request, as its last byte may have been written.
+    /// Returns whether the server may have run the request, because the last byte may have been written.
     pub fn may_have_run(&self) -> bool {
         self.request.borrow().as_ref().is_some_and(RequestOnWire::may_be_complete)
     }
 
-    /// Cancels the attempt. Bytes that are not written yet are not written any more.
+    /// Cancels the attempt. Bytes that have not been written are never written.
     pub fn cancel(&self) {
         self.is_cancelled.set(true);
         if let Some(request) = &*self.request.borrow() {
@@ -44,7 +46,7 @@
         self.cancelled.notify_one();
     }
 
-    /// Whether the attempt has been cancelled.
+    /// Returns whether the attempt has been cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.is_cancelled.get()
     }
@@ -56,18 +58,18 @@
 }
 
 /// The result of an attempt or a health check.
-pub struct AttemptOutcome {
-    /// How it ended.
+pub struct AttemptResult {
+    /// How the attempt or the health check ended.
     pub outcome: Outcome,
-    /// The load report in the server's answer, if any.
+    /// The load report in the server's response, if there is one.
     pub load_report: Option<LoadReport>,
-    /// The complete answer, if the outcome is a success.
-    pub answer: Option<ServedAnswer>,
+    /// The complete response, if the outcome is [`Outcome::Success`].
+    pub response: Option<ServedAnswer>,
 }
 
-impl AttemptOutcome {
-    /// The result of an attempt that got no answer.
-    pub fn without_answer(outcome: Outcome) -> Self {
-        AttemptOutcome { outcome, load_report: None, answer: None }
+impl AttemptResult {
+    /// Creates the result of an attempt that has received no response.
+    pub fn without_response(outcome: Outcome) -> Self {
+        AttemptResult { outcome, load_report: None, response: None }
     }
 }
--- a/crates/balancer-agent/src/upstream/client.rs
+++ b/crates/balancer-agent/src/upstream/client.rs
@@ -1,10 +1,10 @@
-//! Sending attempts and health checks to servers.
+//! Sends attempts and health checks to servers.
 
-use super::attempt::{AttemptOutcome, AttemptProgress};
-use super::pool::{Connection, ConnectionPool, SETTLE_TIME};
+use super::attempt::{AttemptProgress, AttemptResult};
+use super::pool::{Connection, ConnectionPool, REUSE_DELAY};
 use super::request_on_wire::RequestOnWire;
-use super::response::{has_known_length, load_report_of, outcome_of, parse_load_report};
-use super::{MAX_BODY, MAX_HEAD};
+use super::response::{has_valid_length, load_report_of, outcome_of, parse_load_report};
+use super::{MAX_BODY, MAX_HEAD_BYTES};
 use crate::request::ServedAnswer;
 use balancer_core::{Outcome, ServerId};
 use bytes::Bytes;
@@ -16,55 +16,56 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A health check that is not answered after this time has timed out.
+/// How long a health check may take before it has timed out.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Where servers answer health checks.
+/// The path of health checks if servers send no load reports.
 const HEALTH_PATH: &str = "/health";
-/// Where servers answer health checks with their load, if they report it.
+/// The path of health checks whose responses contain a load report.
 const LOAD_PATH: &str = "/status/load";
-/// Most bytes that are read for one answer: its body with its framing, its head, and the heads of 1xx answers
-/// before it. A server that sends more is at fault, even if each part is well formed.
-const MAX_ANSWER: u64 = 2 * (MAX_BODY + MAX_HEAD) as u64;
+/// The maximum number of bytes that are read for one response: the body with its framing, the head, and the
+/// heads of preceding 1xx responses. A server that sends more violates the protocol, even if each part is
+/// well formed.
+const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BODY + MAX_HEAD_BYTES) as u64;
 
-/// The connection broke, or the server broke the protocol, before the exchange was complete.
-struct ExchangeBroken;
+/// The connection broke, or the server violated the protocol, before the exchange was complete.
+struct ExchangeError;
 
-/// Sends requests to servers over a pool of connections.
+/// Sends attempts and health checks to servers over pooled connections.
 pub struct ServerClient {
     pool: Rc<ConnectionPool>,
-    /// The names of the fields of load reports; empty if servers report no load.
+    /// The names of the fields of a load report; empty if servers send no load reports.
     load_report_fields: Vec<String>,
 }
 
 impl ServerClient {
-    /// A client that uses the connections of a pool.
+    /// Creates a client that uses the connections of a pool.
     pub fn new(pool: Rc<ConnectionPool>, load_report_fields: Vec<String>) -> Self {
         ServerClient { pool, load_report_fields }
     }
 
-    /// The pool of its connections.
+    /// Returns the connection pool.
     pub fn pool(&self) -> &ConnectionPool {
         &self.pool
     }
 
-    /// Sends an attempt and waits for its outcome, at most until `deadline`.
+    /// Sends an attempt and waits for its result, but not after `deadline`.
     pub async fn send_attempt(
         &self,
         server: ServerId,
         request: Request<Full<Bytes>>,
         deadline: Instant,
         progress: &AttemptProgress,
-    ) -> AttemptOutcome {
+    ) -> AttemptResult {
         let failure = tokio::select! {
             biased;
             () = progress.cancelled() => Outcome::Cancelled,
             result = timeout_at(deadline, self.try_attempt(server, request, progress)) => match result {
-                Ok(Ok(ended)) => return ended,
-                Ok(Err(ExchangeBroken)) => Outcome::ConnectionReset,
+                Ok(Ok(result)) => return result,
+                Ok(Err(ExchangeError)) => Outcome::ConnectionReset,
                 Err(_) => Outcome::TimedOut,
             },
         };
-        // Only the bytes written tell whether the server may have run the request.
+        // Whether the server may have run the request depends only on the bytes that have been written.
         let outcome = if progress.may_have_run() {
             failure
         } else if progress.is_cancelled() {
@@ -72,7 +73,7 @@
         } else {
             Outcome::ConnectFailed
         };
-        AttemptOutcome::without_answer(outcome)
+        AttemptResult::without_response(outcome)
     }
 
     async fn try_attempt(
@@ -80,76 +81,76 @@
         server: ServerId,
         request: Request<Full<Bytes>>,
         progress: &AttemptProgress,
-    ) -> Result<AttemptOutcome, ExchangeBroken> {
+    ) -> Result<AttemptResult, ExchangeError> {
         let connection = match self.pool.acquire(server).await {
             Ok(connection) => connection,
-            Err(outcome) => return Ok(AttemptOutcome::without_answer(outcome)),
+            Err(outcome) => return Ok(AttemptResult::without_response(outcome)),
         };
-        // Opening the connection may have taken a while: by now the request may be closed, or the server
-        // removed.
+        // The attempt may have been cancelled or the server removed while the connection was being opened.
         if progress.is_cancelled() || !self.pool.is_current(&connection) {
             self.pool.release(connection);
-            return Ok(AttemptOutcome::without_answer(Outcome::NotSent));
+            return Ok(AttemptResult::without_response(Outcome::NotSent));
         }
         let on_wire = RequestOnWire::new(&request, connection.wire());
         progress.start_writing(on_wire.clone());
         self.exchange(connection, request, &on_wire).await
     }
 
-    /// Checks a server's health, and asks for its load if servers report it.
-    pub async fn check_health(&self, server: ServerId) -> AttemptOutcome {
+    /// Sends a health check to a server. If servers send load reports, the check requests one.
+    pub async fn check_health(&self, server: ServerId) -> AttemptResult {
         let result = timeout(HEALTH_CHECK_TIMEOUT, self.try_health_check(server)).await;
         let result = result.unwrap_or(Err(Outcome::TimedOut));
-        let mut ended = result.unwrap_or_else(AttemptOutcome::without_answer);
-        if let (None, Some(answer)) = (&ended.load_report, &ended.answer) {
-            let text = std::str::from_utf8(&answer.body).ok();
-            ended.load_report = text.and_then(|text| parse_load_report(text, &self.load_report_fields));
+        let mut check = result.unwrap_or_else(AttemptResult::without_response);
+        if let (None, Some(response)) = (&check.load_report, &check.response) {
+            let text = std::str::from_utf8(&response.body).ok();
+            check.load_report = text.and_then(|text| parse_load_report(text, &self.load_report_fields));
         }
-        ended
+        check
     }
 
-    async fn try_health_check(&self, server: ServerId) -> Result<AttemptOutcome, Outcome> {
+    async fn try_health_check(&self, server: ServerId) -> Result<AttemptResult, Outcome> {
         let path = if self.load_report_fields.is_empty() { HEALTH_PATH } else { LOAD_PATH };
         let connection = self.pool.acquire(server).await?;
         let request = Request::get(path).header("host", "backend").body(Full::default());
         let request = request.map_err(|_| Outcome::NotSent)?;
         let on_wire = RequestOnWire::new(&request, connection.wire());
         let result = self.exchange(connection, request, &on_wire).await;
-        result.map_err(|ExchangeBroken| Outcome::ConnectionReset)
+        result.map_err(|ExchangeError| Outcome::ConnectionReset)
     }
 
-    /// Sends a request over a connection and reads its complete answer.
+    /// Sends a request over a connection and reads the complete response.
     async fn exchange(
         &self,
         mut connection: Connection,
         request: Request<Full<Bytes>>,
         on_wire: &RequestOnWire,
-    ) -> Result<AttemptOutcome, ExchangeBroken> {
-        connection.wire().allow_reading(MAX_ANSWER);
-        let response = connection.send_request(request).await.map_err(|_| ExchangeBroken)?;
+    ) -> Result<AttemptResult, ExchangeError> {
+        connection.wire().allow_reading(MAX_RESPONSE_BYTES);
+        let response = connection.send_request(request).await.map_err(|_| ExchangeError)?;
         let outcome = outcome_of(&response);
         let load_report = load_report_of(&response, &self.load_report_fields);
         if !on_wire.may_be_complete() {
-            // The server must not get the rest of a request that it has rejected. A success before the last
-            // byte cannot be the answer to this request.
+            // The server must not receive the rest of a request that it has already rejected. A success that
+            // arrives before the last byte has been written cannot be the response to this request.
             on_wire.stop_writing();
             if outcome == Outcome::Success {
-                return Err(ExchangeBroken);
+                return Err(ExchangeError);
             }
-            return Ok(AttemptOutcome { outcome, load_report, answer: None });
+            return Ok(AttemptResult { outcome, load_report, response: None });
         }
-        if !has_known_length(&response) {
-            return Err(ExchangeBroken);
+        if !has_valid_length(&response) {
+            return Err(ExchangeError);
         }
-        let answer = read_answer(response).await?;
+        let response = read_response(response).await?;
         self.release_when_ready(connection);
-        let answer = (outcome == Outcome::Success).then_some(answer);
-        Ok(AttemptOutcome { outcome, load_report, answer })
+        let response = (outcome == Outcome::Success).then_some(response);
+        Ok(AttemptResult { outcome, load_report, response })
     }
 
-    /// Releases a connection to the pool as soon as it can carry another request. If the server has sent more
-    /// than the answer, hyper closes the connection instead. The answer is valid in either case and does not
-    /// wait for this.
+    /// Releases a connection to the pool as soon as the connection can carry another request. If the server
+    /// has sent more than the response, hyper closes the connection instead. The response is valid in either
+    /// case, so this function does not wait for the connection. A connection that is not ready within
+    /// [`REUSE_DELAY`] is closed.
     fn release_when_ready(&self, mut connection: Connection) {
         if connection.is_ready() {
             self.pool.release(connection);
@@ -160,18 +161,18 @@
         }
         let pool = self.pool.clone();
         tokio::task::spawn_local(async move {
-            if let Ok(Ok(())) = timeout(SETTLE_TIME, connection.ready()).await {
+            if let Ok(Ok(())) = timeout(REUSE_DELAY, connection.ready()).await {
                 pool.release(connection);
             }
         });
     }
 }
 
-/// Reads the rest of a response, with a body of at most `MAX_BODY` bytes.
-async fn read_answer(response: Response<Incoming>) -> Result<ServedAnswer, ExchangeBroken> {
+/// Reads the body of a response. A body that breaks off or exceeds [`MAX_BODY`] is an error.
+async fn read_response(response: Response<Incoming>) -> Result<ServedAnswer, ExchangeError> {
     let content_type = response.headers().get(CONTENT_TYPE).cloned();
     let body = Limited::new(response.into_body(), MAX_BODY).collect().await;
-    let body = body.map_err(|_| ExchangeBroken)?.to_bytes();
+    let body = body.map_err(|_| ExchangeError)?.to_bytes();
     Ok(ServedAnswer { content_type, body })
 }
 
--- a/crates/balancer-agent/src/upstream/client/tests.rs
+++ b/crates/balancer-agent/src/upstream/client/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts against servers that answer twice or read slowly.
+//! Tests of attempts to servers that respond twice or read slowly.
 
 use super::*;
 use crate::endpoint_list::EndpointList;
@@ -10,11 +10,11 @@
 use tokio::time::sleep_until;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longer than any test takes.
+/// A timeout that no test reaches.
 const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 const SERVER: ServerId = ServerId(0);
 
-/// A client that knows the server behind the listener.
+/// Creates a client whose pool contains the server behind the listener.
 fn client_of(listener: &TcpListener) -> ServerClient {
     let address = listener.local_addr().expect("an address");
     let limits =
@@ -31,48 +31,49 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Sends a request and returns the body of its answer.
-async fn body_of_answer(client: &ServerClient) -> Bytes {
+/// Sends a request and returns the body of the response.
+async fn body_of_response(client: &ServerClient) -> Bytes {
     let request = Request::get("/").body(Full::default()).expect("a request");
-    let ended = client
+    let result = client
         .send_attempt(SERVER, request, Instant::now() + LONG_TIMEOUT, &AttemptProgress::new(None))
         .await;
-    ended.answer.expect("an answer").body
+    result.response.expect("a response").body
 }
 
-/// Accepts a connection, answers the first request on it, and returns the open connection.
-async fn accept_and_answer(listener: &TcpListener, body: &str) -> TcpStream {
+/// Accepts a connection, responds to the first request on it, and returns the open connection.
+async fn accept_and_respond(listener: &TcpListener, body: &str) -> TcpStream {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut head = [0; 256];
     assert!(stream.read(&mut head).await.expect("a request") > 0);
-    stream.write_all(&response(body)).await.expect("it is written");
+    stream.write_all(&response(body)).await.expect("the response is written");
     stream
 }
 
-/// A connection that has just carried an answer is not used at once. The second answer arrives before the next
-/// request is written, and that request is then sent over another connection.
+/// Guards against a server that responds twice to one request: the second response must not be taken for the
+/// response to the next request. The pool delays the reuse of the connection. The second response arrives
+/// meanwhile, and the next request is sent over another connection.
 #[tokio::test(start_paused = true)]
-async fn a_second_answer_is_not_given_to_the_next_request() {
+async fn a_second_response_is_not_used_for_the_next_request() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = client_of(&listener);
     let test = async {
         let (first, mut stream) =
-            tokio::join!(body_of_answer(&client), accept_and_answer(&listener, "first"));
+            tokio::join!(body_of_response(&client), accept_and_respond(&listener, "first"));
         assert_eq!(first, "first");
-        stream.write_all(&response("second")).await.expect("it is written");
+        stream.write_all(&response("second")).await.expect("the response is written");
 
-        let next = timeout(CONNECT_TIMEOUT, accept_and_answer(&listener, "next"));
-        let (next, _stream) = tokio::join!(body_of_answer(&client), next);
+        let next = timeout(CONNECT_TIMEOUT, accept_and_respond(&listener, "next"));
+        let (next, _stream) = tokio::join!(body_of_response(&client), next);
 
         assert_eq!(next, "next");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A listener whose connections buffer very few bytes until they are read from.
+/// Creates a listener whose connections buffer very few bytes before the receiver reads.
 fn slow_listener() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    // With small segments the client's side of the connection buffers few bytes as well.
+    // Small segments keep the send buffer of the client small as well.
     socket.set_tcp_mss(88).expect("an option");
     socket.set_recv_buffer_size(2048).expect("an option");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -81,7 +82,7 @@
     TcpListener::from_std(socket.into()).expect("a listener")
 }
 
-/// Accepts a connection, reads from it only from `start` on, and returns the number of bytes received.
+/// Accepts a connection, starts to read from it at `start`, and returns the number of bytes received.
 async fn read_after(listener: &TcpListener, start: Instant) -> usize {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     sleep_until(start).await;
@@ -91,9 +92,11 @@
     bytes.len()
 }
 
-/// The server reads only after the time by which the retry must be written, and does not get the rest of it.
+/// Guards against a retry that is written completely after its write deadline, when servers no longer
+/// recognise it as a retry. The server starts to read after that deadline and must not receive the whole
+/// request.
 #[tokio::test(start_paused = true)]
-async fn a_retry_that_is_still_being_written_at_the_end_of_its_window_is_not_finished() {
+async fn a_retry_that_is_still_being_written_at_its_write_deadline_is_never_written_completely() {
     let listener = slow_listener();
     let client = client_of(&listener);
     let request = Request::post("/").body(Full::new(Bytes::from(vec![b'b'; MAX_BODY]))).expect("a request");
@@ -103,8 +106,8 @@
     let server = read_after(&listener, started_at + Duration::from_secs(6));
 
     let test = async { tokio::join!(attempt, server) };
-    let (ended, received) = LocalSet::new().run_until(test).await;
+    let (result, received) = LocalSet::new().run_until(test).await;
 
-    assert!(received <= MAX_BODY, "it came completely");
-    assert_eq!(ended.outcome, Outcome::ConnectFailed, "it never ran");
+    assert!(received <= MAX_BODY, "the server received the whole request");
+    assert_eq!(result.outcome, Outcome::ConnectFailed, "the request never ran");
 }
--- a/crates/balancer-agent/src/upstream/counted_stream.rs
+++ b/crates/balancer-agent/src/upstream/counted_stream.rs
@@ -1,4 +1,5 @@
-//! A socket that counts the bytes written to it, which tells whether a broken attempt may have run.
+//! A socket that counts the bytes written to it. The count shows whether a server may have run a request
+//! whose connection broke.
 
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -10,26 +11,28 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most bytes read at a time.
+/// The maximum number of bytes that one read returns.
 const READ_CHUNK_BYTES: usize = 4 << 10;
 
-/// The state of a connection's socket, shared between the connection's task and its user.
+/// The write count and the limits of a connection's socket, shared between the task that drives the
+/// connection and the code that sends requests over it.
 #[derive(Default)]
 pub struct WireState {
     bytes_written: Cell<u64>,
     /// The number of bytes that may still be read.
     read_allowance: Cell<u64>,
+    /// The time after which writes fail, if there is one.
     write_by: Cell<Option<Instant>>,
     is_write_closed: Cell<bool>,
 }
 
 impl WireState {
-    /// The number of bytes that the kernel has accepted since the connection was opened.
+    /// Returns the number of bytes that the kernel has accepted since the connection was opened.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written.get()
     }
 
-    /// Allows this many bytes to be read from now on; a read that exceeds them fails.
+    /// Allows this many bytes to be read from now on. A read that exceeds this number fails.
     pub fn allow_reading(&self, bytes: u64) {
         self.read_allowance.set(bytes);
     }
@@ -39,28 +42,28 @@
         self.write_by.set(write_by);
     }
 
-    /// Makes all further writes fail, also of bytes that hyper has queued already.
+    /// Makes all further writes fail, including writes of bytes that hyper has already buffered.
     pub fn close_writing(&self) {
         self.is_write_closed.set(true);
     }
 
     fn check_writable(&self) -> io::Result<()> {
-        let is_past_time = self.write_by.get().is_some_and(|write_by| Instant::now() > write_by);
-        if self.is_write_closed.get() || is_past_time {
+        let is_past_deadline = self.write_by.get().is_some_and(|write_by| Instant::now() > write_by);
+        if self.is_write_closed.get() || is_past_deadline {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 }
 
-/// A connection's socket, with its wire state.
+/// A connected socket that counts written bytes and enforces the limits of its [`WireState`].
 pub struct CountedStream {
     io: TokioIo<TcpStream>,
     wire: Rc<WireState>,
 }
 
 impl CountedStream {
-    /// Wraps a connected socket. Reading must be allowed by the wire state first.
+    /// Wraps a connected socket. Reads fail until [`WireState::allow_reading`] is called.
     pub fn new(stream: TcpStream, wire: Rc<WireState>) -> Self {
         CountedStream { io: TokioIo::new(stream), wire }
     }
--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -7,9 +7,9 @@
 mod server;
 mod slots;
 
-pub use connection::{Connection, SETTLE_TIME};
+pub use connection::{Connection, REUSE_DELAY};
 
-use crate::endpoint_list::{EndpointEntry, EndpointHealth};
+use crate::endpoint_list::{EndpointEntry, EntryStatus};
 use addresses::ServersByAddress;
 use balancer_core::{Outcome, ServerId};
 use connection::ConnectionTarget;
@@ -25,18 +25,19 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// An idle connection is closed after this fraction of the server's own limit. If the server closes it first,
-/// while a request is being written to it, that request ends as a reset and may or may not have run.
+/// The longest time that a connection stays idle, as a fraction of the time after which the server closes it.
+/// If the server closes the connection while a request is being written to it, the attempt ends as a
+/// connection reset, and the request may or may not have run.
 const MAX_IDLE_FRACTION: f64 = 0.7;
 
-/// What a pool may hold, and for how long.
+/// The limits of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLimits {
-    /// Most connections at a time.
+    /// The maximum number of connections at a time, including those that are being opened.
     pub max_connections: usize,
-    /// A connection that is not open after this time has failed.
+    /// How long opening a connection may take before it has failed.
     pub connect_timeout: Duration,
-    /// Servers close connections that have been idle for this long.
+    /// How long a connection may be idle before the server closes it.
     pub keepalive: Duration,
 }
 
@@ -44,13 +45,13 @@
 enum Acquired {
     /// An idle connection, ready for a request.
     Connection(Connection),
-    /// There are idle connections, and the first has settled at this time.
-    SettlesAt(Instant),
-    /// There is none, and a new one must lead there.
+    /// All idle connections are in their reuse delay, and the first can be reused at this time.
+    ReusableAt(Instant),
+    /// There is no idle connection, and a new one must be opened to this target.
     MustConnect(ConnectionTarget),
 }
 
-/// All servers and the connections to them.
+/// The idle connections to all servers, and the means to open new ones.
 pub struct ConnectionPool {
     connect_timeout: Duration,
     max_idle_time: Duration,
@@ -61,7 +62,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool that knows no server yet.
+    /// Creates a pool without servers.
     pub fn new(limits: PoolLimits) -> Rc<Self> {
         Rc::new(ConnectionPool {
             connect_timeout: limits.connect_timeout,
@@ -73,19 +74,20 @@
         })
     }
 
-    /// Whether the endpoint list names a server that accepts new work.
-    pub fn has_server(&self) -> bool {
-        self.servers.borrow().values().any(PooledServer::is_up)
+    /// Returns whether the endpoint list contains a server that accepts new requests.
+    pub fn has_serving_server(&self) -> bool {
+        self.servers.borrow().values().any(PooledServer::is_serving)
     }
 
-    /// Applies an entry of the endpoint list. A new address or a new process closes the server's idle
-    /// connections, and so does draining; a removed server is forgotten. Exchanges in flight go on.
+    /// Applies an entry of the endpoint list. The server's idle connections are closed if the server has a
+    /// new address or a new process or is draining. A removed server is forgotten. Exchanges in progress
+    /// continue.
     pub fn update_server(&self, server: ServerId, entry: &EndpointEntry) {
-        if entry.health == EndpointHealth::Removed {
+        if entry.status == EntryStatus::Removed {
             self.remove_server(server);
             return;
         }
-        let address_in_use = entry.address.filter(|_| entry.health == EndpointHealth::Up);
+        let address_in_use = entry.address.filter(|_| entry.status == EntryStatus::Serving);
         if let Some(address) = address_in_use {
             self.assign_address(address, server);
         }
@@ -95,15 +97,15 @@
                 vacant.insert(PooledServer::new(server, entry, next_incarnation));
             }
             Entry::Occupied(mut pooled) => {
-                if let Some(left_address) = pooled.get_mut().update(entry, next_incarnation) {
-                    self.servers_by_address.borrow_mut().unassign(left_address, server);
+                if let Some(previous_address) = pooled.get_mut().update(entry, next_incarnation) {
+                    self.servers_by_address.borrow_mut().unassign(previous_address, server);
                 }
             }
         }
     }
 
-    /// Assigns an address to a server. The process of another server that was there has ended, whether or not
-    /// the endpoint list said so: its connections must not be used for that server any more.
+    /// Assigns an address to a server. If another server had the address, its process there has ended, even
+    /// if the endpoint list has not stated that, and connections to it are no longer used for that server.
     fn assign_address(&self, address: SocketAddr, server: ServerId) {
         let previous = self.servers_by_address.borrow_mut().assign(address, server);
         let mut servers = self.servers.borrow_mut();
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Forgets the servers that a complete endpoint list does not name.
+    /// Removes the servers that are missing from a complete endpoint list.
     pub fn remove_unlisted_servers(&self, listed: &HashSet<ServerId>) {
         let servers: Vec<ServerId> = self.servers.borrow().keys().copied().collect();
         for server in servers {
@@ -136,24 +138,26 @@
         }
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes all connections that have been idle for too long.
     pub fn close_stale(&self) {
         for pooled in self.servers.borrow_mut().values_mut() {
             pooled.idle_mut().close_stale(self.max_idle_time);
         }
     }
 
-    /// Returns the most recently used connection that is ready and has settled, or opens a new one.
+    /// Returns the most recently used idle connection that can be reused. Waits if all idle connections are
+    /// in their reuse delay, and opens a new connection if there is no idle one.
     ///
     /// # Errors
     ///
-    /// `NotSent` if this process lacks a connection slot or the server's address, or the server accepts no new
-    /// work, none of which is the server's failure; `ConnectFailed` if no connection could be opened in time.
+    /// * [`Outcome::NotSent`] if no connection slot is free, the server's address is unknown or the server
+    ///   accepts no new requests. None of these counts as a failure of the server.
+    /// * [`Outcome::ConnectFailed`] if no connection could be opened in time.
     pub async fn acquire(self: &Rc<Self>, server: ServerId) -> Result<Connection, Outcome> {
         loop {
             match self.try_acquire(server)? {
                 Acquired::Connection(connection) => return Ok(connection),
-                Acquired::SettlesAt(settled_at) => sleep_until(settled_at).await,
+                Acquired::ReusableAt(reusable_at) => sleep_until(reusable_at).await,
                 Acquired::MustConnect(target) => return self.connect(target).await,
             }
         }
@@ -161,21 +165,21 @@
 
     fn try_acquire(&self, server: ServerId) -> Result<Acquired, Outcome> {
         let mut servers = self.servers.borrow_mut();
-        let pooled = servers.get_mut(&server).filter(|pooled| pooled.is_up()).ok_or(Outcome::NotSent)?;
+        let pooled = servers.get_mut(&server).filter(|pooled| pooled.is_serving()).ok_or(Outcome::NotSent)?;
         let idle = pooled.idle_mut();
         idle.close_unusable(self.max_idle_time);
-        if let Some(connection) = idle.pop_settled() {
+        if let Some(connection) = idle.pop_reusable() {
             return Ok(Acquired::Connection(connection));
         }
-        if let Some(settled_at) = idle.next_settled_at() {
-            return Ok(Acquired::SettlesAt(settled_at));
+        if let Some(reusable_at) = idle.next_reusable_at() {
+            return Ok(Acquired::ReusableAt(reusable_at));
         }
         let target = pooled.target().ok_or(Outcome::NotSent)?;
         Ok(Acquired::MustConnect(target))
     }
 
-    /// Opens a connection in a task of its own. If its attempt is cancelled meanwhile, the connection is kept
-    /// for the next one: opening it has cost the server work.
+    /// Opens a connection in a separate task. If the attempt is cancelled meanwhile, the connection is kept
+    /// for the next attempt, because opening it has cost the server work.
     async fn connect(self: &Rc<Self>, target: ConnectionTarget) -> Result<Connection, Outcome> {
         let slot = self.reserve_slot().ok_or(Outcome::NotSent)?;
         let (sender, receiver) = oneshot::channel();
@@ -190,8 +194,8 @@
         receiver.await.ok().flatten().ok_or(Outcome::ConnectFailed)
     }
 
-    /// Reserves a slot for one more connection. If all are in use, the connection that has been idle for
-    /// longest is closed for it; `None` if no connection is idle.
+    /// Reserves a slot for one more connection. If all slots are in use, closes the connection that has been
+    /// idle for longest to free one. Returns `None` if no connection is idle.
     fn reserve_slot(&self) -> Option<ConnectionSlot> {
         if self.slots.is_exhausted() && !self.close_least_recently_used() {
             return None;
@@ -199,7 +203,7 @@
         Some(self.slots.reserve())
     }
 
-    /// Closes the connection that has been idle for longest; false if no connection is idle.
+    /// Closes the connection that has been idle for longest. Returns `false` if no connection is idle.
     fn close_least_recently_used(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
         let with_idle = servers.values_mut().filter(|pooled| pooled.idle().oldest_idle_since().is_some());
@@ -211,14 +215,15 @@
         false
     }
 
-    /// Whether the server accepts new work, and the connection leads to its present incarnation.
+    /// Returns whether the connection leads to the current incarnation of its server, and the server accepts
+    /// new requests.
     pub fn is_current(&self, connection: &Connection) -> bool {
         let servers = self.servers.borrow();
         servers.get(&connection.server()).is_some_and(|pooled| pooled.is_current(connection))
     }
 
-    /// Keeps a connection that carries no exchange for the next request. It is closed instead if it no longer
-    /// leads to the server's present incarnation.
+    /// Adds a connection that carries no exchange to the idle connections. The connection is closed instead
+    /// if it does not lead to the current incarnation of its server or the server accepts no new requests.
     pub fn release(&self, connection: Connection) {
         if !self.is_current(&connection) || connection.is_closed() {
             return;
--- a/crates/balancer-agent/src/upstream/pool/connection.rs
+++ b/crates/balancer-agent/src/upstream/pool/connection.rs
@@ -1,10 +1,10 @@
-//! One open connection to a server.
+//! An open connection to a server.
 
 use super::incarnation::Incarnation;
 use super::slots::ConnectionSlot;
 use crate::http_client::{connect, start_http, ConnectionTask};
 use crate::upstream::counted_stream::{CountedStream, WireState};
-use crate::upstream::MAX_HEAD;
+use crate::upstream::MAX_HEAD_BYTES;
 use balancer_core::ServerId;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -17,11 +17,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection that has just carried a complete answer is not used for this long. A server that is at fault
-/// may send a second answer some milliseconds later, which would pass for the next request's.
-pub const SETTLE_TIME: Duration = Duration::from_millis(5);
+/// The minimum time that a connection is idle before it is reused. A faulty server may send a second response
+/// some milliseconds after the first. On a connection that is reused immediately, the second response would
+/// be taken for the response to the next request.
+pub const REUSE_DELAY: Duration = Duration::from_millis(5);
 
-/// Where a connection leads to.
+/// The destination of a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionTarget {
     /// The server.
@@ -32,7 +33,8 @@
     pub address: SocketAddr,
 }
 
-/// An open connection to a server, which carries one exchange at a time; dropping it closes it.
+/// An open connection to a server, which carries one exchange at a time. Dropping the value closes the
+/// connection.
 pub struct Connection {
     target: ConnectionTarget,
     sender: SendRequest<Full<Bytes>>,
@@ -43,16 +45,16 @@
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Opens a connection to a target. The connection occupies the slot until it is dropped.
     ///
     /// # Errors
     ///
-    /// If the server does not accept it.
+    /// Returns an error if the server does not accept the connection.
     pub async fn open(target: ConnectionTarget, slot: ConnectionSlot) -> io::Result<Self> {
         let stream = connect(target.address).await?;
         let wire = Rc::<WireState>::default();
         let mut builder = Builder::new();
-        builder.max_buf_size(MAX_HEAD).max_header_size(MAX_HEAD);
+        builder.max_buf_size(MAX_HEAD_BYTES).max_header_size(MAX_HEAD_BYTES);
         let socket = CountedStream::new(stream, wire.clone());
         let http = start_http(&builder, socket).await.map_err(io::Error::other)?;
         Ok(Connection {
@@ -65,67 +67,67 @@
         })
     }
 
-    /// The server that it leads to.
+    /// Returns the server that the connection leads to.
     pub fn server(&self) -> ServerId {
         self.target.server
     }
 
-    /// The incarnation of the server that it leads to.
+    /// Returns the server incarnation that the connection leads to.
     pub fn incarnation(&self) -> Incarnation {
         self.target.incarnation
     }
 
-    /// The state of its socket.
+    /// Returns the state of the connection's socket.
     pub fn wire(&self) -> &Rc<WireState> {
         &self.wire
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// If the connection breaks before that.
+    /// Returns an error if the connection breaks before the head has arrived.
     pub async fn send_request(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
         self.sender.send_request(request).await
     }
 
-    /// Whether it can carry a request now.
+    /// Returns whether the connection can carry a request now.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until it can carry a request.
+    /// Waits until the connection can carry a request.
     ///
     /// # Errors
     ///
-    /// If the connection is closed instead.
+    /// Returns an error if the connection is closed instead.
     pub async fn ready(&mut self) -> hyper::Result<()> {
         self.sender.ready().await
     }
 
-    /// Whether it has been closed.
+    /// Returns whether the connection has been closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Marks it as idle from now on. The limit on the time to write its last request no longer applies.
+    /// Marks the connection as idle from now on and removes the write deadline of its last request.
     pub fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
         self.wire.set_write_by(None);
     }
 
-    /// When it became idle.
+    /// Returns when the connection became idle.
     pub fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// When it has settled after its last answer.
-    pub fn settled_at(&self) -> Instant {
-        self.idle_since + SETTLE_TIME
+    /// Returns when the reuse delay of the connection ends.
+    pub fn reusable_at(&self) -> Instant {
+        self.idle_since + REUSE_DELAY
     }
 
-    /// Whether it has settled after its last answer.
-    pub fn has_settled(&self) -> bool {
-        self.idle_since.elapsed() >= SETTLE_TIME
+    /// Returns whether the reuse delay of the connection has ended.
+    pub fn is_reusable(&self) -> bool {
+        self.idle_since.elapsed() >= REUSE_DELAY
     }
 }
--- a/crates/balancer-agent/src/upstream/pool/idle.rs
+++ b/crates/balancer-agent/src/upstream/pool/idle.rs
@@ -17,18 +17,19 @@
         self.connections.push(connection);
     }
 
-    /// Removes the most recently used connection of those that have settled.
-    pub fn pop_settled(&mut self) -> Option<Connection> {
-        let position = self.connections.iter().rposition(Connection::has_settled)?;
+    /// Removes and returns the most recently used connection whose reuse delay has ended.
+    pub fn pop_reusable(&mut self) -> Option<Connection> {
+        let position = self.connections.iter().rposition(Connection::is_reusable)?;
         Some(self.connections.remove(position))
     }
 
-    /// When the first connection has settled; `None` if there is no connection.
-    pub fn next_settled_at(&self) -> Option<Instant> {
-        self.connections.first().map(Connection::settled_at)
+    /// Returns when the first connection can be reused, or `None` if there is no connection.
+    pub fn next_reusable_at(&self) -> Option<Instant> {
+        self.connections.first().map(Connection::reusable_at)
     }
 
-    /// Since when the least recently used connection has been idle.
+    /// Returns since when the least recently used connection has been idle, or `None` if there is no
+    /// connection.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.connections.first().map(Connection::idle_since)
     }
@@ -40,12 +41,14 @@
         }
     }
 
-    /// Closes connections that have been idle for `max_idle_time`, and drops those that have been closed.
+    /// Closes the connections that have been idle for `max_idle_time`, and removes those that are already
+    /// closed.
     pub fn close_stale(&mut self, max_idle_time: Duration) {
         self.connections.retain(|connection| !is_stale(connection, max_idle_time) && !connection.is_closed());
     }
 
-    /// Closes connections that have been idle for `max_idle_time`, and those that cannot carry a request now.
+    /// Closes the connections that have been idle for `max_idle_time` and those that cannot carry a request
+    /// now.
     pub fn close_unusable(&mut self, max_idle_time: Duration) {
         self.connections.retain(|connection| !is_stale(connection, max_idle_time) && connection.is_ready());
     }
--- a/crates/balancer-agent/src/upstream/pool/incarnation.rs
+++ b/crates/balancer-agent/src/upstream/pool/incarnation.rs
@@ -1,21 +1,21 @@
-//! Telling apart the successive processes of servers.
+//! Identifies the successive processes of a server.
 
 use std::cell::Cell;
 
-/// Identifies one process at one address. Connections to an earlier incarnation of a server are not used for a
-/// later one.
+/// Identifies one process at one address. A connection to an earlier incarnation of a server is not used for
+/// a later one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Incarnation(u64);
 
-/// Numbers incarnations across all servers, so that no two processes share one, even if a server takes another
-/// one's address.
+/// Assigns numbers to incarnations. All servers share one counter, so incarnations are unique even if a
+/// server takes over the address of another server.
 #[derive(Default)]
 pub struct IncarnationCounter {
     last: Cell<u64>,
 }
 
 impl IncarnationCounter {
-    /// An incarnation that was not used before.
+    /// Returns an incarnation that has not been used before.
     pub fn next(&self) -> Incarnation {
         self.last.set(self.last.get() + 1);
         Incarnation(self.last.get())
--- a/crates/balancer-agent/src/upstream/pool/tests.rs
+++ b/crates/balancer-agent/src/upstream/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Which servers a pool may use, and the slots for their connections.
+//! Tests of the servers and the connection slots of a pool.
 
 use super::*;
 use crate::endpoint_list::EndpointList;
@@ -14,52 +14,56 @@
     })
 }
 
-fn entry(health: &str) -> EndpointEntry {
+fn entry(status: &str) -> EndpointEntry {
     let list =
-        serde_json::json!({"seq": 1, "hosts": [{"host": "s", "dial": "127.0.0.1:1", "health": health}]});
+        serde_json::json!({"seq": 1, "hosts": [{"host": "s", "dial": "127.0.0.1:1", "health": status}]});
     let list = EndpointList::parse(&list).expect("a list");
     list.entries.into_iter().next().expect("an entry")
 }
 
 #[test]
-fn a_pool_has_a_server_while_one_is_up() {
+fn a_pool_has_a_serving_server_while_one_is_up() {
     let pool = pool();
-    assert!(!pool.has_server());
+    assert!(!pool.has_serving_server());
 
     pool.update_server(SERVER, &entry("up"));
-    assert!(pool.has_server());
+    assert!(pool.has_serving_server());
 
     pool.update_server(SERVER, &entry("draining"));
-    assert!(!pool.has_server());
+    assert!(!pool.has_serving_server());
 
     pool.update_server(SERVER, &entry("up"));
     pool.update_server(SERVER, &entry("removed"));
-    assert!(!pool.has_server());
+    assert!(!pool.has_serving_server());
 }
 
 #[test]
-fn servers_that_a_complete_list_does_not_name_are_forgotten() {
+fn servers_that_are_missing_from_a_complete_list_are_removed() {
     let pool = pool();
     pool.update_server(SERVER, &entry("up"));
 
     pool.remove_unlisted_servers(&HashSet::from([SERVER]));
-    assert!(pool.has_server());
+    assert!(pool.has_serving_server());
 
     pool.remove_unlisted_servers(&HashSet::from([OTHER_SERVER]));
-    assert!(!pool.has_server());
+    assert!(!pool.has_serving_server());
 }
 
 #[test]
-fn an_address_belongs_to_the_server_that_was_last_named_there() {
+fn an_address_belongs_to_the_server_that_it_was_last_assigned_to() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let mut servers = ServersByAddress::default();
 
     assert_eq!(servers.assign(address, SERVER), None);
-    assert_eq!(servers.assign(address, SERVER), None, "the server itself is no other server");
+    assert_eq!(servers.assign(address, SERVER), None, "the address did not belong to a different server");
     assert_eq!(servers.assign(address, OTHER_SERVER), Some(SERVER));
 
     servers.unassign(address, SERVER);
-    assert_eq!(servers.assign(address, SERVER), Some(OTHER_SERVER), "only the owner gives an address up");
+    assert_eq!(
+        servers.assign(address, SERVER),
+        Some(OTHER_SERVER),
+        "only the server that has the address can unassign it"
+    );
 
     servers.unassign(address, SERVER);
     assert_eq!(servers.assign(address, OTHER_SERVER), None);
--- a/crates/balancer-agent/src/upstream/request_on_wire.rs
+++ b/crates/balancer-agent/src/upstream/request_on_wire.rs
@@ -1,4 +1,4 @@
-//! Whether a request has been written completely to its connection.
+//! Tracks whether a request has been written completely to its connection.
 
 use super::counted_stream::WireState;
 use bytes::Bytes;
@@ -8,38 +8,41 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A request and the connection that it is written to.
+/// The position of a request in the bytes that are written to its connection.
 #[derive(Clone)]
 pub struct RequestOnWire {
     wire: Rc<WireState>,
-    /// The number of bytes written to the connection when the request's last byte is among them.
+    /// A lower bound of the connection's count of written bytes once the last byte of the request is written.
     end: u64,
 }
 
 impl RequestOnWire {
-    /// A request that is about to be written to a connection.
+    /// Creates the position of a request that is written to a connection next.
     pub fn new(request: &Request<Full<Bytes>>, wire: &Rc<WireState>) -> Self {
         let end = wire.bytes_written() + min_encoded_size(request);
         RequestOnWire { wire: wire.clone(), end }
     }
 
-    /// Whether its last byte may have been written. A server begins to run a request with its last byte.
+    /// Returns whether the last byte of the request may have been written. A server runs a request only after
+    /// it has received the last byte.
     pub fn may_be_complete(&self) -> bool {
         self.wire.bytes_written() >= self.end
     }
 
-    /// Sets the time after which writes to the connection fail, if any.
+    /// Sets the time after which writes to the connection fail; `None` removes the limit.
     pub fn set_write_by(&self, write_by: Option<Instant>) {
         self.wire.set_write_by(write_by);
     }
 
-    /// Stops writing to the connection. What has been written of the request is all that the server gets.
+    /// Makes all further writes to the connection fail, so that the server never receives the rest of the
+    /// request.
     pub fn stop_writing(&self) {
         self.wire.close_writing();
     }
 }
 
-/// A lower bound of a request's encoded size in bytes. While fewer bytes are written, its last byte is not.
+/// Returns a lower bound of the encoded size of a request, in bytes. While fewer bytes have been written, the
+/// last byte of the request has not been written.
 fn min_encoded_size(request: &Request<Full<Bytes>>) -> u64 {
     let request_line =
         request.method().as_str().len() + request.uri().path().len() + " ".len() + " HTTP/1.1\r\n".len();
--- a/crates/balancer-agent/src/upstream/response.rs
+++ b/crates/balancer-agent/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What the answers of servers mean (PROTOCOL page, "Agents to order servers").
+//! Interprets the responses of servers (PROTOCOL page, "Agents to order servers").
 
 use super::MAX_BODY;
 use balancer_core::{LoadReport, Outcome};
@@ -6,8 +6,9 @@
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
 
-/// The outcome that a server's answer stands for. A 503 or 504 proves that the request has not run only if it
-/// carries the header `X-Not-Processed: 1`; otherwise it may come from a proxy behind which the request ran.
+/// Returns the outcome that a server's response indicates. A 503 or 504 proves that the request did not run
+/// only if it carries the header `X-Not-Processed: 1`. Without the header, the response may come from a
+/// proxy, and the request may have run on a server behind it.
 pub fn outcome_of<B>(response: &Response<B>) -> Outcome {
     let is_unprocessed =
         response.headers().get("x-not-processed").is_some_and(|value| value.as_bytes() == b"1");
@@ -18,9 +19,10 @@
     }
 }
 
-/// Whether the length of the body is unambiguous and at most `MAX_BODY`. With several lengths hyper would use
-/// one of them, which may be the wrong one; without any, a truncated body would be taken for a complete one.
-pub fn has_known_length<B: Body>(response: &Response<B>) -> bool {
+/// Returns whether the length of the body is unambiguous and at most [`MAX_BODY`]. If a response states
+/// several lengths, hyper uses one of them, which may be the wrong one. If a response states none, a
+/// truncated body is taken for a complete one.
+pub fn has_valid_length<B: Body>(response: &Response<B>) -> bool {
     let headers = response.headers();
     let lengths = headers.get_all(CONTENT_LENGTH).iter().chain(headers.get(TRANSFER_ENCODING)).count();
     let needs_length = response.status() == StatusCode::OK;
@@ -28,14 +30,14 @@
     !is_ambiguous && response.body().size_hint().lower() <= MAX_BODY as u64
 }
 
-/// The load report in an answer's header, if any.
+/// Returns the load report in the header of a response, if there is one.
 pub fn load_report_of<B>(response: &Response<B>, fields: &[String]) -> Option<LoadReport> {
     let header = response.headers().get("x-server-load").and_then(|value| value.to_str().ok());
     header.and_then(|text| parse_load_report(text, fields))
 }
 
-/// Parses a load report such as `TEXT inflight=7, queue=2`. Its values are in the order of `fields`, with NaN
-/// for those that are missing or not a number; `None` if it has a value for none of them.
+/// Parses a load report such as `TEXT inflight=7, queue=2`. The values of the result are in the order of
+/// `fields`; a value that is missing or not a number is NaN. Returns `None` if no field has a finite value.
 pub fn parse_load_report(text: &str, fields: &[String]) -> Option<LoadReport> {
     let text = text.trim();
     let pairs = text.strip_prefix("TEXT").unwrap_or(text);
--- a/crates/balancer-agent/src/upstream/response/tests.rs
+++ b/crates/balancer-agent/src/upstream/response/tests.rs
@@ -1,9 +1,9 @@
-//! Reading load reports.
+//! Tests of parsing load reports.
 
 use super::*;
 
 #[test]
-fn load_reports_are_read_in_the_order_of_the_settings() {
+fn load_reports_are_parsed_in_the_order_of_the_settings() {
     let fields = ["qps", "queue"].map(String::from);
 
     assert_eq!(
