--- a/crates/balancer-agent/src/config.rs
+++ b/crates/balancer-agent/src/config.rs
@@ -83,7 +83,7 @@
 pub struct Config {
     /// The agent's name in log lines.
     pub name: String,
-    /// The address on which the agent accepts connections of the application.
+    /// The address on which the agent accepts client connections.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
@@ -127,9 +127,9 @@
 
 impl ConfigFile {
     /// Reads the file whose path is in `PROXY_CONFIG`.
-    fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+    fn read(read_variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let missing = ConfigError::MissingVariable { variable: CONFIG_VARIABLE };
-        let path = variable(CONFIG_VARIABLE).map(PathBuf::from).ok_or(missing)?;
+        let path = read_variable(CONFIG_VARIABLE).map(PathBuf::from).ok_or(missing)?;
         let bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
@@ -148,8 +148,10 @@
 /// # Errors
 ///
 /// Returns an error if the file cannot be read or contains no valid discovery address.
-pub fn read_discovery_address(variable: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
-    let value = ConfigFile::read(variable)?.discovery.ok_or(ConfigError::MissingDiscovery)?;
+pub fn read_discovery_address(
+    read_variable: impl Fn(&str) -> Option<String>,
+) -> Result<SocketAddr, ConfigError> {
+    let value = ConfigFile::read(read_variable)?.discovery.ok_or(ConfigError::MissingDiscovery)?;
     parse_address("discovery", value)
 }
 
@@ -159,13 +161,16 @@
     /// # Errors
     ///
     /// Returns the first error that is found. Its message is one line for the operator.
-    pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        Self::from_file(ConfigFile::read(&variable)?, variable)
+    pub fn load(read_variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+        Self::from_file(ConfigFile::read(&read_variable)?, read_variable)
     }
 
-    fn from_file(file: ConfigFile, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+    fn from_file(
+        file: ConfigFile,
+        read_variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
         let address = |name: &'static str, file_value: Option<String>| {
-            let value = variable(name).or(file_value);
+            let value = read_variable(name).or(file_value);
             parse_address(name, value.ok_or(ConfigError::MissingVariable { variable: name })?)
         };
         let listen = address(LISTEN_VARIABLE, file.listen)?;
@@ -175,11 +180,11 @@
         settings.check()?;
         check_class_names(&host_settings)?;
         Ok(Config {
-            name: variable(NAME_VARIABLE).or(file.name).unwrap_or_else(|| DEFAULT_NAME.into()),
+            name: read_variable(NAME_VARIABLE).or(file.name).unwrap_or_else(|| DEFAULT_NAME.into()),
             listen,
             discovery,
             seed: parse_seed(&file.seed.unwrap_or_default()),
-            max_sockets: max_sockets(&file.limits)?,
+            max_sockets: resolve_max_sockets(&file.limits)?,
             settings,
             host_settings,
             cached_endpoints: parse_cached_endpoints(&file.known)?,
@@ -194,7 +199,8 @@
     }
 }
 
-fn max_sockets(limits: &Limits) -> Result<usize, ConfigError> {
+/// Returns the limit on file descriptors: the configured one or the default, and at most [`MAX_SOCKETS`].
+fn resolve_max_sockets(limits: &Limits) -> Result<usize, ConfigError> {
     let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS);
     if sockets < MIN_SOCKETS {
         return Err(ConfigError::TooFewSockets);
@@ -218,15 +224,15 @@
         // The protocol assumes that the agent is notified of changes even while no watch is open. A broken
         // watch must therefore be reopened well within the drain grace, however often it breaks.
         max_poll_interval: settings.max_poll_interval.min(settings.drain_grace),
-        // The JSON settings do not set this field for the balancer, because connections in the simulator open
-        // or fail immediately.
+        // The conversion from `WireSettings` leaves this field at its default, because connections in the
+        // simulator open or fail immediately.
         connect_timeout: host_settings.connect_timeout,
         ..settings
     }
 }
 
-/// Converts a text to a seed. A hexadecimal number, as the deployment writes it, gives its value. Any other
-/// text gives its hash.
+/// Derives a seed from a text. A hexadecimal number, as the deployment writes it, is used by value. Any other
+/// text is hashed.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_name(text))
 }
--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -43,7 +43,7 @@
     Failed,
 }
 
-/// The discovery service, and at most one watch of its endpoint list.
+/// The address of a discovery service, and at most one open watch of its endpoint list.
 pub struct Discovery {
     address: SocketAddr,
     /// The version of the last list from this address, or `None` if there has been none. Each discovery
@@ -53,7 +53,7 @@
 }
 
 impl Discovery {
-    /// Creates a discovery service that is not being watched.
+    /// Creates a `Discovery` for the service at `address`, without a watch.
     pub fn new(address: SocketAddr) -> Self {
         Discovery { address, list_version: None, watch: None }
     }
--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -25,8 +25,8 @@
 use balancer_settings::HostSettings;
 use endpoint_watch::EndpointWatch;
 use event_queue::EventQueue;
-use notice_text::notice_text;
-use outgoing::outgoing_request;
+use notice_text::format_notice;
+use outgoing::build_outgoing_request;
 use requests::{AttemptId, RequestTracker};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -207,7 +207,7 @@
         let Some(attempt) = self.requests.borrow_mut().start_attempt(request, write_by) else { return };
         let sent_at = Instant::now();
         let time_left = timeout_at.saturating_duration_since(sent_at);
-        let outgoing = outgoing_request(&attempt.request, time_left);
+        let outgoing = build_outgoing_request(&attempt.request, time_left);
         let driver = self.clone();
         spawn_local(async move {
             let result = driver.client.send_attempt(server, outgoing, timeout_at, &attempt.progress).await;
@@ -246,7 +246,7 @@
 
     fn log_notice(&self, notice: &Notice) {
         let endpoint_watch = self.endpoint_watch.borrow();
-        eprintln!("{}", notice_text(notice, endpoint_watch.server_names()));
+        eprintln!("{}", format_notice(notice, endpoint_watch.server_names()));
     }
 
     /// Applies a received endpoint list to the connection pool, and returns its entries as the balancer
--- a/crates/balancer-agent/src/driver/endpoint_watch/translation.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/translation.rs
@@ -12,14 +12,15 @@
     names: &mut RetainedServerNames,
     settings: &HostSettings,
 ) -> ServerList {
-    let endpoint_of = |entry: &EndpointEntry| endpoint(entry, names.intern(&entry.name), settings);
+    let endpoint_of = |entry: &EndpointEntry| translate_entry(entry, names.intern(&entry.name), settings);
     let endpoints: Vec<Endpoint> = list.entries.iter().map(endpoint_of).collect();
     let servers = endpoints.iter().map(|endpoint| endpoint.server);
     let all_servers = list.is_complete.then(|| servers.collect());
     ServerList { endpoints, all_servers }
 }
 
-fn endpoint(entry: &EndpointEntry, server: ServerId, settings: &HostSettings) -> Endpoint {
+/// Translates the entry of a server. A start time of 0 means that the server has not started recently.
+fn translate_entry(entry: &EndpointEntry, server: ServerId, settings: &HostSettings) -> Endpoint {
     let is_start_time_known = entry.started_at_ms > 0.0;
     Endpoint {
         server,
--- a/crates/balancer-agent/src/driver/notice_text.rs
+++ b/crates/balancer-agent/src/driver/notice_text.rs
@@ -4,7 +4,7 @@
 use balancer_core::{Notice, ServerId};
 
 /// Returns a log line for a notice, with the names of servers in place of their ids.
-pub fn notice_text(notice: &Notice, names: &RetainedServerNames) -> String {
+pub fn format_notice(notice: &Notice, names: &RetainedServerNames) -> String {
     match notice {
         Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
             "server {} ejected ({reason}): latency is {:.2} times its objective, fleet median {:.2}",
--- a/crates/balancer-agent/src/driver/outgoing.rs
+++ b/crates/balancer-agent/src/driver/outgoing.rs
@@ -12,7 +12,7 @@
 
 /// Returns a copy of the client's request, with a header that states how long the agent waits for the
 /// response.
-pub fn outgoing_request(request: &ClientRequest, timeout: Duration) -> Request<Full<Bytes>> {
+pub fn build_outgoing_request(request: &ClientRequest, timeout: Duration) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.uri.clone();
--- a/crates/balancer-agent/src/driver/requests.rs
+++ b/crates/balancer-agent/src/driver/requests.rs
@@ -77,8 +77,8 @@
         self.attempts.cancel(id);
     }
 
-    /// Records the end of an attempt. The first successful response of a server becomes the request's
-    /// final response.
+    /// Records the end of an attempt. The first successful response of a server becomes the final response to
+    /// the request.
     pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, response: Option<ServedAnswer>) {
         self.attempts.end(id);
         self.pending.record_attempt_outcome(id.request, outcome);
--- a/crates/balancer-agent/src/driver/requests/attempts.rs
+++ b/crates/balancer-agent/src/driver/requests/attempts.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Cancels the attempts of a request that have not been written completely: no server has run them. The
-    /// other attempts continue. `attempts_started` is the number of attempts that the request has had so far.
+    /// Cancels the attempts of a request that have not been written completely, which no server can have run.
+    /// The other attempts continue. `attempts_started` is the number of attempts that the request has had.
     pub fn cancel_unwritten(&self, request: RequestId, attempts_started: u32) {
         for attempt in (0..attempts_started).map(AttemptNumber) {
             let progress = self.progress.get(&AttemptId { request, attempt });
--- a/crates/balancer-agent/src/driver/requests/tests.rs
+++ b/crates/balancer-agent/src/driver/requests/tests.rs
@@ -1,4 +1,4 @@
-//! Tests that each request gets one final response, and tests of the attempts of closed requests.
+//! Tests of the final response to each request and of the attempts of closed requests.
 
 use super::*;
 use balancer_core::{AttemptNumber, ClassId};
--- a/crates/balancer-agent/src/upstream/client.rs
+++ b/crates/balancer-agent/src/upstream/client.rs
@@ -91,7 +91,7 @@
             self.pool.release(connection);
             return Ok(AttemptResult::without_response(Outcome::NotSent));
         }
-        let on_wire = RequestOnWire::new(&request, connection.wire());
+        let on_wire = RequestOnWire::new(&request, connection.socket_state());
         progress.start_writing(on_wire.clone());
         self.exchange(connection, request, &on_wire).await
     }
@@ -113,7 +113,7 @@
         let connection = self.pool.acquire(server).await?;
         let request = Request::get(path).header("host", "backend").body(Full::default());
         let request = request.map_err(|_| Outcome::NotSent)?;
-        let on_wire = RequestOnWire::new(&request, connection.wire());
+        let on_wire = RequestOnWire::new(&request, connection.socket_state());
         let result = self.exchange(connection, request, &on_wire).await;
         result.map_err(|ExchangeError| Outcome::ConnectionReset)
     }
@@ -125,7 +125,7 @@
         request: Request<Full<Bytes>>,
         on_wire: &RequestOnWire,
     ) -> Result<AttemptResult, ExchangeError> {
-        connection.wire().allow_reading(MAX_RESPONSE_BYTES);
+        connection.socket_state().allow_reading(MAX_RESPONSE_BYTES);
         let response = connection.send_request(request).await.map_err(|_| ExchangeError)?;
         let outcome = outcome_of(&response);
         let load_report = load_report_of(&response, &self.load_report_fields);
--- a/crates/balancer-agent/src/upstream/counted_stream.rs
+++ b/crates/balancer-agent/src/upstream/counted_stream.rs
@@ -17,7 +17,7 @@
 /// The write count and the limits of a connection's socket, shared between the task that drives the
 /// connection and the code that sends requests over it.
 #[derive(Default)]
-pub struct WireState {
+pub struct SocketState {
     bytes_written: Cell<u64>,
     /// The number of bytes that may still be read.
     read_allowance: Cell<u64>,
@@ -26,7 +26,7 @@
     is_write_closed: Cell<bool>,
 }
 
-impl WireState {
+impl SocketState {
     /// Returns the number of bytes that the kernel has accepted since the connection was opened.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written.get()
@@ -56,16 +56,16 @@
     }
 }
 
-/// A connected socket that counts written bytes and enforces the limits of its [`WireState`].
+/// A connected socket that counts written bytes and enforces the limits of its [`SocketState`].
 pub struct CountedStream {
     io: TokioIo<TcpStream>,
-    wire: Rc<WireState>,
+    socket_state: Rc<SocketState>,
 }
 
 impl CountedStream {
-    /// Wraps a connected socket. Reads fail until [`WireState::allow_reading`] is called.
-    pub fn new(stream: TcpStream, wire: Rc<WireState>) -> Self {
-        CountedStream { io: TokioIo::new(stream), wire }
+    /// Wraps a connected socket. Reads fail until [`SocketState::allow_reading`] is called.
+    pub fn new(stream: TcpStream, socket_state: Rc<SocketState>) -> Self {
+        CountedStream { io: TokioIo::new(stream), socket_state }
     }
 }
 
@@ -79,8 +79,8 @@
         let space = chunk.len().min(buf.remaining());
         let mut read = ReadBuf::new(&mut chunk[..space]);
         ready!(Pin::new(&mut self.io).poll_read(cx, read.unfilled()))?;
-        let allowance = self.wire.read_allowance.get().checked_sub(read.filled().len() as u64);
-        self.wire.read_allowance.set(allowance.ok_or(io::ErrorKind::InvalidData)?);
+        let allowance = self.socket_state.read_allowance.get().checked_sub(read.filled().len() as u64);
+        self.socket_state.read_allowance.set(allowance.ok_or(io::ErrorKind::InvalidData)?);
         buf.put_slice(read.filled());
         Poll::Ready(Ok(()))
     }
@@ -108,9 +108,9 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.wire.check_writable()?;
+        self.socket_state.check_writable()?;
         let written = ready!(Pin::new(&mut self.io).poll_write_vectored(cx, bufs))?;
-        self.wire.bytes_written.set(self.wire.bytes_written() + written as u64);
+        self.socket_state.bytes_written.set(self.socket_state.bytes_written() + written as u64);
         Poll::Ready(Ok(written))
     }
 }
--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -45,13 +45,14 @@
 enum Acquired {
     /// An idle connection, ready for a request.
     Connection(Connection),
-    /// All idle connections are in their reuse delay, and the first can be reused at this time.
+    /// There are idle connections, but none can be reused before this time.
     ReusableAt(Instant),
     /// There is no idle connection, and a new one must be opened to this target.
     MustConnect(ConnectionTarget),
 }
 
-/// The idle connections to all servers, and the means to open new ones.
+/// Holds the addresses of all servers and the idle connections to them, opens new connections and limits
+/// their number.
 pub struct ConnectionPool {
     connect_timeout: Duration,
     max_idle_time: Duration,
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Returns the most recently used idle connection that can be reused. Waits if all idle connections are
-    /// in their reuse delay, and opens a new connection if there is no idle one.
+    /// Returns the most recently used idle connection that can be reused. If the server has idle connections
+    /// but none can be reused yet, waits until one can. If the server has none, opens a new connection.
     ///
     /// # Errors
     ///
--- a/crates/balancer-agent/src/upstream/pool/connection.rs
+++ b/crates/balancer-agent/src/upstream/pool/connection.rs
@@ -3,7 +3,7 @@
 use super::incarnation::Incarnation;
 use super::slots::ConnectionSlot;
 use crate::http_client::{connect, start_http, ConnectionTask};
-use crate::upstream::counted_stream::{CountedStream, WireState};
+use crate::upstream::counted_stream::{CountedStream, SocketState};
 use crate::upstream::MAX_HEAD_BYTES;
 use balancer_core::ServerId;
 use bytes::Bytes;
@@ -38,7 +38,7 @@
 pub struct Connection {
     target: ConnectionTarget,
     sender: SendRequest<Full<Bytes>>,
-    wire: Rc<WireState>,
+    socket_state: Rc<SocketState>,
     idle_since: Instant,
     _task: ConnectionTask,
     _slot: ConnectionSlot,
@@ -52,15 +52,15 @@
     /// Returns an error if the server does not accept the connection.
     pub async fn open(target: ConnectionTarget, slot: ConnectionSlot) -> io::Result<Self> {
         let stream = connect(target.address).await?;
-        let wire = Rc::<WireState>::default();
+        let socket_state = Rc::<SocketState>::default();
         let mut builder = Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES).max_header_size(MAX_HEAD_BYTES);
-        let socket = CountedStream::new(stream, wire.clone());
+        let socket = CountedStream::new(stream, socket_state.clone());
         let http = start_http(&builder, socket).await.map_err(io::Error::other)?;
         Ok(Connection {
             target,
             sender: http.sender,
-            wire,
+            socket_state,
             idle_since: Instant::now(),
             _task: http.task,
             _slot: slot,
@@ -78,8 +78,8 @@
     }
 
     /// Returns the state of the connection's socket.
-    pub fn wire(&self) -> &Rc<WireState> {
-        &self.wire
+    pub fn socket_state(&self) -> &Rc<SocketState> {
+        &self.socket_state
     }
 
     /// Sends a request and waits for the head of the response.
@@ -113,7 +113,7 @@
     /// Marks the connection as idle from now on and removes the write deadline of its last request.
     pub fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
-        self.wire.set_write_by(None);
+        self.socket_state.set_write_by(None);
     }
 
     /// Returns when the connection became idle.
--- a/crates/balancer-agent/src/upstream/pool/server.rs
+++ b/crates/balancer-agent/src/upstream/pool/server.rs
@@ -82,7 +82,7 @@
         &self.idle
     }
 
-    /// Returns the idle connections to the server, for changes.
+    /// Returns a mutable reference to the idle connections to the server.
     pub fn idle_mut(&mut self) -> &mut IdleConnections {
         &mut self.idle
     }
--- a/crates/balancer-agent/src/upstream/request_on_wire.rs
+++ b/crates/balancer-agent/src/upstream/request_on_wire.rs
@@ -1,6 +1,6 @@
 //! Tracks whether a request has been written completely to its connection.
 
-use super::counted_stream::WireState;
+use super::counted_stream::SocketState;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Body;
@@ -11,33 +11,33 @@
 /// The position of a request in the bytes that are written to its connection.
 #[derive(Clone)]
 pub struct RequestOnWire {
-    wire: Rc<WireState>,
+    socket_state: Rc<SocketState>,
     /// A lower bound of the connection's count of written bytes once the last byte of the request is written.
     end: u64,
 }
 
 impl RequestOnWire {
     /// Creates the position of a request that is written to a connection next.
-    pub fn new(request: &Request<Full<Bytes>>, wire: &Rc<WireState>) -> Self {
-        let end = wire.bytes_written() + min_encoded_size(request);
-        RequestOnWire { wire: wire.clone(), end }
+    pub fn new(request: &Request<Full<Bytes>>, socket_state: &Rc<SocketState>) -> Self {
+        let end = socket_state.bytes_written() + min_encoded_size(request);
+        RequestOnWire { socket_state: socket_state.clone(), end }
     }
 
     /// Returns whether the last byte of the request may have been written. A server runs a request only after
     /// it has received the last byte.
     pub fn may_be_complete(&self) -> bool {
-        self.wire.bytes_written() >= self.end
+        self.socket_state.bytes_written() >= self.end
     }
 
     /// Sets the time after which writes to the connection fail; `None` removes the limit.
     pub fn set_write_by(&self, write_by: Option<Instant>) {
-        self.wire.set_write_by(write_by);
+        self.socket_state.set_write_by(write_by);
     }
 
     /// Makes all further writes to the connection fail, so that the server never receives the rest of the
     /// request.
     pub fn stop_writing(&self) {
-        self.wire.close_writing();
+        self.socket_state.close_writing();
     }
 }
 
