--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -1,15 +1,15 @@
-//! Attempts: what is forwarded to servers, which failures are retried, and the answer when no attempt
-//! succeeds.
+//! Tests of attempts: which requests are forwarded, which failures are retried, and which response a client
+//! gets when no attempt succeeds.
 
 mod common;
 use common::agent::Agent;
 use common::config::{AgentConfig, RequestClass};
-use common::discovery::{endpoint_entry, up_entry, Health, TestDiscovery, NEW_INCARNATION_MS};
+use common::discovery::{endpoint_entry, up_entry, Health, TestDiscovery, NEW_INCARNATION_START_MS};
 use common::kernel::wait_for_connect_in_progress;
 use common::messages::{get_request, ok_response, post_request, read_message, NOT_PROCESSED_503, PLAIN_503};
 use common::server::{ResponseGate, ServerReply, TestServer};
 use common::setup::{start_agent, start_configured_agent, start_watching_agent, SERVER_NAME};
-use common::sockets::{FullListener, RefusingAddress};
+use common::sockets::{FullBacklogListener, RefusingAddress};
 use common::within_time_limit;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -25,29 +25,33 @@
     assert_eq!((response.status(), response.body.as_slice()), (200, b"body of the answer".as_slice()));
     let forwarded = server.next_request().await;
     assert_eq!(forwarded.first_line(), "POST /save/x?key=7f&more=%20 HTTP/1.1");
-    let request_id = forwarded.header("x-request-id").expect("a request id");
+    let request_id = forwarded.header("x-request-id").expect("the request should have a request id");
     assert!(request.contains(&format!("X-Request-ID: {request_id}\r\n")));
     assert_eq!(forwarded.header("idempotency-key"), Some("k1"));
     assert_eq!(forwarded.body, b"the body");
-    let timeout = forwarded.header("x-timeout").and_then(|value| value.strip_suffix('u')).expect("a timeout");
-    let timeout: u64 = timeout.parse().expect("microseconds");
+    let timeout = forwarded
+        .header("x-timeout")
+        .and_then(|value| value.strip_suffix('u'))
+        .expect("the request should have a timeout in microseconds");
+    let timeout: u64 = timeout.parse().expect("the timeout should be a number");
     assert!(timeout > 0 && timeout < 2_000_000, "{timeout}: must be less than the client's timeout");
 }
 
-/// An unsafe request whose connection breaks after its last byte may have been processed. It is neither
-/// retried nor rejected, as the client may retry a rejected request.
+/// A server may have processed an unsafe request if the connection breaks after the request's last byte. The
+/// agent neither retries nor rejects such a request, as the client may retry a rejected request.
 #[tokio::test]
 async fn an_unsafe_request_is_not_retried_if_the_connection_breaks_after_its_last_byte() {
     assert_not_retried(ServerReply::Close(Vec::new())).await;
 }
 
-/// After a refused connect a request has not been processed, so that any class may be retried.
+/// After a refused connect, the server has not processed the request, so requests of any class may be
+/// retried.
 #[tokio::test]
 async fn an_unsafe_request_is_retried_elsewhere_after_a_refused_connect() {
     let mut server = TestServer::responding_with("x").await;
     let discovery = TestDiscovery::silent().await;
-    let refusing = RefusingAddress::reserve();
-    let known_entries = [up_entry("dead", refusing.address), up_entry("good", server.address)];
+    let refusing_address = RefusingAddress::reserve();
+    let known_entries = [up_entry("dead", refusing_address.address), up_entry("good", server.address)];
     let agent = Agent::start(&AgentConfig::new(discovery.address, &known_entries)).await;
 
     for _ in 0..6 {
@@ -57,14 +61,14 @@
     }
 }
 
-/// Only `X-Not-Processed: 1` proves that a request was not processed; a plain 503 may have been sent after
-/// the request was processed.
+/// Only `X-Not-Processed: 1` proves that a request was not processed. A server may send a plain 503 after it
+/// has processed the request.
 #[tokio::test]
 async fn an_unsafe_request_is_not_retried_after_a_plain_503() {
     assert_not_retried(ServerReply::KeepOpen(PLAIN_503.to_vec())).await;
 }
 
-/// Asserts that an unsafe request is sent once and answered as failed if the only server sends this reply.
+/// Asserts that the agent sends an unsafe request once and fails it if the only server sends this reply.
 async fn assert_not_retried(reply: ServerReply) {
     let mut server = TestServer::start(move |_| reply.clone()).await;
     let agent = start_agent(server.address).await;
@@ -73,40 +77,41 @@
 
     assert_eq!(response.status(), 502);
     server.next_request().await;
-    assert!(!server.has_further_request(), "sent twice");
+    assert!(!server.has_unread_request(), "the request was sent twice");
 }
 
 #[tokio::test]
 async fn an_unsafe_request_is_retried_after_a_503_marked_not_processed() {
     let rejection = ServerReply::KeepOpen(NOT_PROCESSED_503.to_vec());
     let success = ServerReply::KeepOpen(ok_response("x"));
-    let mut server = TestServer::replying_in_turn(vec![rejection, success]).await;
+    let mut server = TestServer::replying_in_order(vec![rejection, success]).await;
     let agent = start_agent(server.address).await;
 
     let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
 
     assert_eq!(response.status(), 200);
     let first_attempt = server.next_request().await;
-    let request_id = first_attempt.header("x-request-id").expect("a request id");
+    let request_id = first_attempt.header("x-request-id").expect("the request should have a request id");
     let retry = server.next_request().await;
     assert_eq!(retry.header("x-request-id"), Some(request_id));
     assert_eq!(retry.connection, 0, "a rejection must not close the connection");
 }
 
-/// A retry must be sent within its deduplication window. One whose connect may succeed after the window is
-/// not started.
+/// A retry must be sent within the deduplication window of its request. The agent starts no retry whose
+/// connect may succeed only after the window.
 #[tokio::test]
 async fn a_retry_that_may_miss_its_deduplication_window_is_not_started() {
-    assert!(!starts_retry_with_window_ms(5_000).await);
-    assert!(starts_retry_with_window_ms(60_000).await);
+    assert!(!is_retried_with_window_ms(5_000).await);
+    assert!(is_retried_with_window_ms(60_000).await);
 }
 
-/// Whether a failed request is retried with this window, where a connect to the next server may take 20 s.
-async fn starts_retry_with_window_ms(deduplication_window_ms: u64) -> bool {
+/// Whether the agent retries a failed request of a class with this deduplication window. The timeout for the
+/// connect to the next server is 20 s.
+async fn is_retried_with_window_ms(deduplication_window_ms: u64) -> bool {
     let gate = ResponseGate::default();
     let malformed_reply = ServerReply::WhenReleased(gate.clone(), b"\0\xff\r\n\r\n".to_vec());
     let mut first_server = TestServer::start(move |_| malformed_reply.clone()).await;
-    let next_server = FullListener::start().await;
+    let next_server = FullBacklogListener::start().await;
     let mut discovery = TestDiscovery::without_updates().await;
     let agent = start_watching_agent(&mut discovery, first_server.address, |config| {
         config
@@ -131,13 +136,19 @@
     }
 }
 
-/// A change of a server's entry in the endpoint list after which no open request may be sent to it.
+/// A change of a server's entry in the endpoint list. After it, the connections that were opened before must
+/// carry no more requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ServerChange {
+    /// The entry says that the server is draining.
     Draining,
+    /// The entry says that the server has been removed.
     Removed,
+    /// The complete list has no entry of the server.
     Absent,
+    /// The entry has the start time of a new process.
     NewIncarnation,
+    /// The entry has a new address.
     Moved,
 }
 
@@ -150,7 +161,7 @@
         ServerChange::Moved,
     ];
 
-    /// The server's entry after the change; `None` if it is no longer listed.
+    /// Returns the server's entry after the change; `None` if the list has no entry of the server.
     fn entry(self, address: SocketAddr, new_address: SocketAddr) -> Option<Value> {
         match self {
             ServerChange::Draining => Some(endpoint_entry(SERVER_NAME, address, Health::Draining)),
@@ -158,7 +169,7 @@
             ServerChange::Absent => None,
             ServerChange::NewIncarnation => {
                 let mut entry = up_entry(SERVER_NAME, address);
-                entry["born_ms"] = NEW_INCARNATION_MS.into();
+                entry["born_ms"] = NEW_INCARNATION_START_MS.into();
                 Some(entry)
             }
             ServerChange::Moved => Some(up_entry(SERVER_NAME, new_address)),
@@ -166,14 +177,14 @@
     }
 }
 
-/// A connect succeeds after the endpoint list has changed the server's entry. The attempt writes nothing to
-/// the connection, and the request is sent to another server.
+/// The endpoint list changes the server's entry while a connect to the server is in progress. After the
+/// connect succeeds, the agent writes nothing to the connection and sends the request to another server.
 #[tokio::test]
 async fn a_request_is_rerouted_if_its_server_leaves_the_list_during_the_connect() {
     let mut other_server = TestServer::responding_with("other").await;
     let new_address = RefusingAddress::reserve();
     for change in ServerChange::ALL {
-        let listener = FullListener::start().await;
+        let listener = FullBacklogListener::start().await;
         let mut discovery = TestDiscovery::without_updates().await;
         let agent = start_watching_agent(&mut discovery, listener.address, |config| {
             config.with_connect_timeout_ms(20_000)
@@ -186,11 +197,12 @@
         entries.extend(change.entry(listener.address, new_address.address));
         discovery.publish(2, &entries);
         discovery.next_call().await;
-        let mut stream = listener.accept_waiting_connection().await;
+        let mut stream = listener.accept_pending_connection().await;
 
-        let written = within_time_limit("the end of the connection", read_message(&mut stream, 0)).await;
-        assert!(written.is_none(), "{change:?}: {}", written.expect("a message").first_line());
-        // The request may be sent to the new incarnation instead, which this test does not answer for.
+        let message = within_time_limit("the close of the connection", read_message(&mut stream, 0)).await;
+        assert!(message.is_none(), "{change:?}: {}", message.expect("a message was read").first_line());
+        // The agent may send the request to the new incarnation instead, and this test sends no response
+        // there.
         if change != ServerChange::NewIncarnation {
             assert_eq!(client.receive().await.body, b"other", "{change:?}");
             other_server.next_request().await;
@@ -198,7 +210,7 @@
     }
 }
 
-/// A request that the balancer rejects is answered at once, with `Retry-After` only if the settings allow it.
+/// The response to a rejected request has a `Retry-After` header only if the settings allow it.
 #[tokio::test]
 async fn a_rejection_carries_retry_after_only_where_the_settings_allow_it() {
     let server = TestServer::start(|_| ServerReply::KeepOpen(NOT_PROCESSED_503.to_vec())).await;
@@ -209,7 +221,9 @@
         let response = agent.exchange(&get_request("/read", "2000m")).await;
 
         assert_eq!(response.status(), 429);
-        let seconds = response.header("retry-after").map(|value| value.parse::<f64>().expect("seconds"));
+        let seconds = response
+            .header("retry-after")
+            .map(|value| value.parse::<f64>().expect("Retry-After should be a number of seconds"));
         assert_eq!(seconds.is_some(), is_allowed);
         assert!(seconds.is_none_or(|seconds| seconds > 0.0 && seconds <= 0.75), "{seconds:?}");
     }
--- a/crates/balancer-agent/tests/client_connections.rs
+++ b/crates/balancer-agent/tests/client_connections.rs
@@ -1,20 +1,21 @@
-//! Client connections: reuse, pipelining, slow senders, and the limits on idle, silent and flooding clients.
+//! Tests of client connections: reuse, pipelining, slow senders, and limits on idle and silent clients and on
+//! excess bytes.
 
 mod common;
-use common::agent::{Agent, PROGRAM};
+use common::agent::{Agent, AGENT_EXECUTABLE};
 use common::config::{AgentConfig, ConfigFile};
 use common::discovery::{up_entry, TestDiscovery};
 use common::messages::{chunked_post_request, get_request, ok_response, post_request};
 use common::server::{ResponseGate, ServerReply, TestServer};
-use common::setup::{start_agent, start_agent_with_few_sockets, SERVER_NAME};
+use common::setup::{start_agent, start_agent_with_low_socket_limit, SERVER_NAME};
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::process::Command;
 
-/// Pipelined requests are answered one by one, in order.
+/// Pipelined requests get their responses one by one, in the order of the requests.
 #[tokio::test]
-async fn pipelined_requests_are_answered_in_order() {
+async fn pipelined_requests_get_responses_in_order() {
     let server = TestServer::start(|request| ServerReply::KeepOpen(ok_response(request.first_line()))).await;
     let agent = start_agent(server.address).await;
     let requests = [
@@ -32,16 +33,16 @@
     }
 }
 
-/// A request that is received slowly, in small pieces, is served.
+/// A request that arrives slowly, in small pieces, is served.
 #[tokio::test]
 async fn a_request_received_in_small_pieces_is_served() {
     let mut server = TestServer::responding_with("x").await;
     let agent = start_agent(server.address).await;
     let mut client = agent.connect().await;
-    client.stream.set_nodelay(true).expect("an option");
+    client.stream.set_nodelay(true).expect("the socket option should be set");
 
     for piece in post_request("/save/x", "5000m", "the body").as_bytes().chunks(20) {
-        client.stream.write_all(piece).await.expect("the bytes are written");
+        client.stream.write_all(piece).await.expect("the request should be written");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
@@ -49,7 +50,7 @@
     assert_eq!(server.next_request().await.body, b"the body");
 }
 
-/// A second request on the connection of a chunked one is answered as well.
+/// A second request is served on a connection that has already carried a chunked request.
 #[tokio::test]
 async fn a_connection_is_reused_after_a_chunked_request() {
     let mut server = TestServer::responding_with("x").await;
@@ -64,32 +65,32 @@
     }
 }
 
-/// Clients open more connections than the agent can hold. Half stay idle after one request, and half never
-/// send a byte. The agent closes enough of them to serve each new client in time.
+/// Clients open more connections than the agent has slots. Half of the connections stay idle after one
+/// request, and half never carry a byte. The agent closes enough of them to serve each new client in time.
 #[tokio::test]
 async fn idle_and_silent_connections_are_closed_to_make_room() {
     let server = TestServer::responding_with("x").await;
-    let agent = start_agent_with_few_sockets(server.address).await;
+    let agent = start_agent_with_low_socket_limit(server.address).await;
 
     let mut clients = Vec::new();
     for _ in 0..60 {
-        let mut idle = agent.connect().await;
-        let sent = Instant::now();
-        assert_eq!(idle.exchange(&get_request("/read", "20000m")).await.status(), 200);
-        assert!(sent.elapsed() < Duration::from_secs(10), "{:?}", sent.elapsed());
-        clients.push(idle);
-        let silent = agent.connect().await;
-        clients.push(silent);
+        let mut idle_client = agent.connect().await;
+        let sent_at = Instant::now();
+        assert_eq!(idle_client.exchange(&get_request("/read", "20000m")).await.status(), 200);
+        assert!(sent_at.elapsed() < Duration::from_secs(10), "{:?}", sent_at.elapsed());
+        clients.push(idle_client);
+        let silent_client = agent.connect().await;
+        clients.push(silent_client);
     }
 }
 
-/// A connection with an open request is not evicted when all slots are in use.
+/// The agent does not evict a connection with an open request, even when all slots are in use.
 #[tokio::test]
 async fn a_connection_with_an_open_request_is_not_evicted() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
     let gate = ResponseGate::default();
     let mut server = TestServer::holding_payments(&gate, ok_response("paid"), other_reply).await;
-    let agent = start_agent_with_few_sockets(server.address).await;
+    let agent = start_agent_with_low_socket_limit(server.address).await;
     let mut paying_client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     server.next_request().await;
 
@@ -103,30 +104,30 @@
     assert_eq!(paying_client.receive().await.body, b"paid");
 }
 
-/// Sends a request followed by excess bytes, and disconnects at once by a reset or a close.
+/// Sends a request and excess bytes after it, and then disconnects at once with a reset or a close.
 async fn send_excess_bytes(agent: &Agent, excess: &[u8], is_reset: bool) {
     let mut client = agent.send_request(&get_request("/read/flood", "20000m")).await;
-    // Fails if the agent closes the connection before all bytes are written.
+    // Writing fails if the agent closes the connection before all bytes have been written.
     let _ = client.stream.write_all(excess).await;
     if is_reset {
-        client.stream.set_zero_linger().expect("an option");
+        client.stream.set_zero_linger().expect("the socket option should be set");
     }
 }
 
-/// More clients than the agent can hold connections send excess bytes after a request and disconnect. Valid
-/// requests are still served, memory use stays low, and no excess bytes are forwarded.
+/// More clients than the agent has connection slots send excess bytes after a request and disconnect. The
+/// agent still serves valid requests, uses little memory, and forwards none of the excess bytes.
 #[tokio::test]
 async fn a_flood_of_excess_bytes_exhausts_neither_connections_nor_memory() {
     let mut server = TestServer::responding_with("x").await;
-    let agent = start_agent_with_few_sockets(server.address).await;
+    let agent = start_agent_with_low_socket_limit(server.address).await;
     let excess = vec![b'x'; 256 << 10];
 
     for number in 0..100 {
         send_excess_bytes(&agent, &excess, number % 2 == 0).await;
         if number % 10 == 0 {
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             assert_eq!(agent.get("/read/good").await.status(), 200);
-            assert!(sent.elapsed() < Duration::from_secs(10), "{:?}", sent.elapsed());
+            assert!(sent_at.elapsed() < Duration::from_secs(10), "{:?}", sent_at.elapsed());
         }
     }
 
@@ -137,23 +138,24 @@
     }
 }
 
-/// A command that starts the agent with 40 file descriptors.
+/// Returns a command that starts the agent with a limit of 40 open file descriptors.
 fn command_with_few_descriptors(config_file: &ConfigFile) -> Command {
     let mut command = Command::new("sh");
     command
-        .args(["-c", "ulimit -n 40; exec \"$0\"", PROGRAM])
+        .args(["-c", "ulimit -n 40; exec \"$0\"", AGENT_EXECUTABLE])
         .env("PROXY_CONFIG", config_file.path())
         .stderr(Stdio::piped())
         .kill_on_drop(true);
     command
 }
 
-/// While no file descriptor is free the agent keeps running, and it accepts connections again once some are.
+/// The agent keeps running while no file descriptor is free, and accepts connections again once some are
+/// free.
 #[tokio::test]
 async fn the_agent_recovers_from_running_out_of_file_descriptors() {
     let server = TestServer::responding_with("x").await;
     let discovery = TestDiscovery::silent().await;
-    // The configuration states more descriptors than the process may open.
+    // The socket limit in the configuration is higher than the limit on file descriptors of the process.
     let config = AgentConfig::new(discovery.address, &[up_entry(SERVER_NAME, server.address)]);
     let config_file = ConfigFile::create(&config.to_text());
     let mut agent = Agent::spawn(command_with_few_descriptors(&config_file), config_file).await;
@@ -162,13 +164,16 @@
     for _ in 0..60 {
         clients.push(agent.connect().await);
     }
-    // The agent has accepted the first connections. The last one is in the backlog and has no descriptor in
-    // the agent.
-    let mut last = clients.pop().expect("a connection");
-    last.send(&get_request("/read", "60000m")).await;
+    // The agent has accepted the first connections. The last connection is in the backlog and has no file
+    // descriptor in the agent yet.
+    let mut last_client = clients.pop().expect("the test should have opened connections");
+    last_client.send(&get_request("/read", "60000m")).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(clients);
 
-    assert_eq!(last.receive().await.status(), 200);
-    assert!(agent.process.try_wait().expect("a status").is_none(), "the agent has exited");
+    assert_eq!(last_client.receive().await.status(), 200);
+    assert!(
+        agent.process.try_wait().expect("the exit status should be available").is_none(),
+        "the agent has exited"
+    );
 }
--- a/crates/balancer-agent/tests/client_disconnects.rs
+++ b/crates/balancer-agent/tests/client_disconnects.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect while their requests are open: an attempt that has not been sent is cancelled.
+//! Tests of clients that disconnect while their requests are open. The agent completes attempts that have
+//! been sent, and cancels those that have not.
 
 mod common;
 use common::agent::Agent;
@@ -9,16 +10,17 @@
 };
 use common::server::{ResponseGate, ServerReply, TestServer};
 use common::setup::{start_agent, start_configured_agent};
-use common::sockets::FullListener;
+use common::sockets::FullBacklogListener;
 use common::within_time_limit;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// How a client disconnects, and how many excess bytes it sends before.
+/// How a client disconnects, and how many excess bytes the client sends before.
 #[derive(Clone, Copy)]
 struct Disconnect {
     description: &'static str,
     excess_bytes: usize,
+    /// Whether the client resets the connection instead of closing it.
     is_reset: bool,
 }
 
@@ -32,27 +34,27 @@
 ];
 
 impl Disconnect {
-    /// Disconnects the client, and returns once the agent has noticed.
+    /// Disconnects the client, and returns once the agent has handled the disconnect.
     async fn apply(self, agent: &Agent, mut client: Client) {
         let Disconnect { description, excess_bytes, is_reset } = self;
         let written = client.stream.write_all(&vec![b'x'; excess_bytes]).await;
-        written.unwrap_or_else(|error| panic!("{description}: not written: {error}"));
+        written.unwrap_or_else(|error| panic!("{description}: cannot write the excess bytes: {error}"));
         if is_reset {
-            client.stream.set_zero_linger().expect("an option");
+            client.stream.set_zero_linger().expect("the socket option should be set");
             drop(client);
         } else {
-            client.stream.shutdown().await.expect("the client disconnects");
+            client.stream.shutdown().await.expect("the client should shut down its write half");
             client.wait_for_close().await;
         }
-        // The agent has one thread, which handles this request after the disconnect.
+        // The agent has one thread, so it handles this request after the disconnect.
         assert_eq!(agent.readiness_status().await, 200, "{description}");
     }
 }
 
-/// An attempt in flight is completed, and its connection is reused.
+/// An attempt in flight is completed after its client has disconnected, and the server connection is reused.
 #[tokio::test]
 async fn an_attempt_in_flight_completes_and_its_connection_is_reused() {
-    // Other connections are closed after one response, so that only the first one can be reused.
+    // The server closes other connections after one response, so only the first connection can be reused.
     let closing_response = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".to_vec();
     let gate = ResponseGate::default();
     let mut server =
@@ -61,11 +63,11 @@
     let mut client = agent.send_request(&post_request("/pay", "2000m", "b")).await;
     assert_eq!(server.next_request().await.connection, 0);
 
-    client.stream.shutdown().await.expect("the client disconnects");
+    client.stream.shutdown().await.expect("the client should shut down its write half");
     client.wait_for_close().await;
     gate.release_one();
 
-    // The connection can only be reused after the agent has received the response.
+    // The agent can reuse the connection only after it has received the response.
     within_time_limit("the reuse of the connection", async {
         loop {
             assert_eq!(agent.exchange(&get_request("/read", "2000m")).await.status(), 200);
@@ -77,8 +79,8 @@
     .await;
 }
 
-/// A client disconnects after its request was sent, and then the server rejects the request as not processed.
-/// With its client still connected, the request would be retried.
+/// A client disconnects after its request has been sent to a server. Then the server rejects the request as
+/// not processed. The agent would retry the request if the client were still connected.
 #[tokio::test]
 async fn a_request_is_not_retried_after_its_client_disconnects() {
     for disconnect in DISCONNECTS {
@@ -88,7 +90,7 @@
 }
 
 async fn assert_not_retried(request: String, disconnect: Disconnect) {
-    // Other connections are closed after one response, so that only the first one can be reused.
+    // The server closes other connections after one response, so only the first connection can be reused.
     let other_reply = ServerReply::Close(ok_response("x"));
     let gate = ResponseGate::default();
     let mut server = TestServer::holding_payments(&gate, NOT_PROCESSED_503.to_vec(), other_reply).await;
@@ -99,7 +101,8 @@
     disconnect.apply(&agent, client).await;
     gate.release_one();
 
-    // The first connection is reused once the agent has received the rejection. No retry may precede that.
+    // The agent reuses the first connection once it has received the rejection. No retry may precede the
+    // reuse.
     within_time_limit("the reuse of the connection", async {
         loop {
             assert_eq!(agent.get("/read").await.status(), 200);
@@ -114,14 +117,15 @@
     .await;
 }
 
-/// A request is queued for capacity at the only server, which becomes free after the client has disconnected.
+/// A request is queued because the only server is at its estimated capacity. The server has free capacity
+/// only after the client has disconnected.
 #[tokio::test]
 async fn a_queued_request_is_not_sent_after_its_client_disconnects() {
     for disconnect in DISCONNECTS {
         let gate = ResponseGate::default();
         let mut server = TestServer::holding_responses(&gate, "x").await;
         let agent = start_agent(server.address).await;
-        // Two requests use up the estimated capacity of a new server.
+        // Two requests in flight use up the estimated capacity of a new server.
         let mut first_clients = Vec::new();
         for _ in 0..2 {
             first_clients.push(agent.send_request(&post_request("/pay/first", "60000m", "b")).await);
@@ -137,14 +141,15 @@
         let next = server.next_request().await;
         assert_eq!(next.first_line(), "POST /pay/last HTTP/1.1", "{}", disconnect.description);
         gate.release_held();
-        assert!(!server.has_further_request(), "{}: more was sent", disconnect.description);
+        assert!(!server.has_unread_request(), "{}: a further request was sent", disconnect.description);
     }
 }
 
-/// A client drops its connection while the connect to the server is in progress, in a full backlog.
+/// A client drops its connection while the agent's connect to the server is in progress, as the server's
+/// backlog is full.
 #[tokio::test]
 async fn a_request_is_not_sent_if_its_client_drops_the_connection_during_the_connect() {
-    let listener = FullListener::start().await;
+    let listener = FullBacklogListener::start().await;
     let agent =
         start_configured_agent(listener.address, |config| config.with_connect_timeout_ms(10_000)).await;
     let client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
@@ -152,31 +157,32 @@
 
     drop(client);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let mut stream = listener.accept_waiting_connection().await;
+    let mut stream = listener.accept_pending_connection().await;
 
-    // The next request uses this connection, so any bytes of the first one would precede it.
+    // The next request uses this connection, so any bytes of the first request would precede it.
     let _next_client = agent.send_request(&get_request("/read/next", "60000m")).await;
     let next = within_time_limit("the next request", read_message(&mut stream, 0)).await;
-    assert_eq!(next.expect("a request").first_line(), "GET /read/next HTTP/1.1");
+    assert_eq!(next.expect("the request should be complete").first_line(), "GET /read/next HTTP/1.1");
 }
 
-/// The same for each way to disconnect, which the agent notices before the connect succeeds.
+/// A client disconnects while the agent's connect to the server is in progress. The agent handles each way to
+/// disconnect before the connect succeeds.
 #[tokio::test]
 async fn a_request_is_not_sent_however_its_client_disconnects_during_the_connect() {
     for disconnect in DISCONNECTS {
-        let listener = FullListener::start().await;
+        let listener = FullBacklogListener::start().await;
         let agent =
             start_configured_agent(listener.address, |config| config.with_connect_timeout_ms(20_000)).await;
         let client = agent.send_request(&post_request("/pay/left", "60000m", "b")).await;
         wait_for_connect_in_progress(listener.address).await;
 
         disconnect.apply(&agent, client).await;
-        let mut stream = listener.accept_waiting_connection().await;
+        let mut stream = listener.accept_pending_connection().await;
 
-        // The next request uses this connection, so any bytes of the first one would precede it.
+        // The next request uses this connection, so any bytes of the first request would precede it.
         let _next_client = agent.send_request(&post_request("/pay/next", "60000m", "b")).await;
         let next = within_time_limit("the next request", read_message(&mut stream, 0)).await;
-        let next = next.expect("a request");
+        let next = next.expect("the request should be complete");
         assert_eq!(next.first_line(), "POST /pay/next HTTP/1.1", "{}", disconnect.description);
     }
 }
--- a/crates/balancer-agent/tests/common/agent.rs
+++ b/crates/balancer-agent/tests/common/agent.rs
@@ -1,4 +1,4 @@
-//! The agent under test, as a process.
+//! Starts, signals and inspects the process of the agent under test.
 
 use super::client::Client;
 use super::config::{AgentConfig, ConfigFile};
@@ -11,42 +11,46 @@
 use tokio::process::{Child, ChildStderr, Command};
 
 /// The path of the agent's executable.
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
+pub const AGENT_EXECUTABLE: &str = env!("CARGO_BIN_EXE_balancer-agent");
 
 /// A running agent. Its process is killed on drop.
 pub struct Agent {
-    /// The address that it listens on.
+    /// The address that the agent listens on.
     pub address: SocketAddr,
-    /// The process.
+    /// The agent's process.
     pub process: Child,
     config_file: ConfigFile,
 }
 
-/// A command that starts the agent with this configuration file and no other environment variables.
+/// Returns a command that starts the agent with this configuration file. The command's
+/// environment holds only `PROXY_CONFIG`.
 pub fn agent_command(config_file: &ConfigFile) -> Command {
-    let mut command = Command::new(PROGRAM);
+    let mut command = Command::new(AGENT_EXECUTABLE);
     command.env_clear().env("PROXY_CONFIG", config_file.path()).stderr(Stdio::piped()).kill_on_drop(true);
     command
 }
 
 impl Agent {
-    /// Starts an agent with this configuration.
+    /// Starts an agent with this configuration and waits until it listens.
     pub async fn start(config: &AgentConfig) -> Self {
         let config_file = ConfigFile::create(&config.to_text());
         Self::spawn(agent_command(&config_file), config_file).await
     }
 
-    /// Spawns a command that executes the agent with this configuration file, and waits until it listens.
+    /// Spawns a command that executes the agent with this configuration file, and waits until the agent
+    /// listens.
     pub async fn spawn(mut command: Command, config_file: ConfigFile) -> Self {
-        let mut process = command.spawn().expect("the program starts");
-        let mut log = BufReader::new(process.stderr.take().expect("a piped log")).lines();
-        let address = listen_address(&mut log).await;
-        // The rest of the log is read and dropped, as a full pipe would block the agent.
+        let mut process = command.spawn().expect("the agent's process should start");
+        let mut log =
+            BufReader::new(process.stderr.take().expect("the agent's standard error should be piped"))
+                .lines();
+        let address = read_listen_address(&mut log).await;
+        // Reads and drops the rest of the log, as a full pipe would block the agent.
         tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
         Agent { address, process, config_file }
     }
 
-    /// Opens a client connection.
+    /// Opens a client connection to the agent.
     pub async fn connect(&self) -> Client {
         Client::connect(self.address).await
     }
@@ -68,7 +72,8 @@
         self.exchange(&get_request(path, "5000m")).await
     }
 
-    /// The status of a readiness request: 200 if the agent is ready.
+    /// Sends a readiness request and returns the status code of the response, which is 200 if the agent is
+    /// ready.
     pub async fn readiness_status(&self) -> u16 {
         self.exchange(READY_REQUEST).await.status()
     }
@@ -83,52 +88,59 @@
         .await;
     }
 
-    /// Starts the graceful shutdown.
+    /// Sends SIGTERM, which starts the graceful shutdown.
     pub async fn send_sigterm(&self) {
         self.send_signal("-TERM").await;
     }
 
-    /// Makes the agent reload its configuration file.
+    /// Sends SIGHUP, which makes the agent reload its configuration file.
     pub async fn send_sighup(&self) {
         self.send_signal("-HUP").await;
     }
 
     async fn send_signal(&self, signal: &str) {
         let id = self.process_id().to_string();
-        let sent = Command::new("kill").args([signal, &id]).status().await.expect("kill runs");
-        assert!(sent.success());
+        let status =
+            Command::new("kill").args([signal, &id]).status().await.expect("the kill command should run");
+        assert!(status.success());
     }
 
     fn process_id(&self) -> u32 {
-        self.process.id().expect("a running process")
+        self.process.id().expect("the agent should be running")
     }
 
-    /// The peak resident memory of the process, in kB.
+    /// Returns the peak resident memory of the agent's process, in kB.
     pub fn peak_memory_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process_id()));
-        let status = status.expect("a status");
-        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
-        peak.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status = status.expect("the process status should be readable");
+        let peak = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .expect("the process status should contain VmHWM");
+        peak.trim().trim_end_matches(" kB").parse().expect("VmHWM should be a number of kB")
     }
 
-    /// Replaces the text of the configuration file, which the agent reads at the next SIGHUP.
+    /// Replaces the text of the configuration file. The agent reads the new text at the next SIGHUP.
     pub fn replace_config(&self, text: &str) {
         self.config_file.replace(text);
     }
 
-    /// Waits until the process has exited.
+    /// Waits until the agent's process has exited and returns its exit status.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
-        within_time_limit("the agent's exit", self.process.wait()).await.expect("a status")
+        within_time_limit("the agent's exit", self.process.wait())
+            .await
+            .expect("the exit status should be available")
     }
 }
 
-/// Reads the log up to the line with the address that the agent listens on.
-async fn listen_address(log: &mut Lines<BufReader<ChildStderr>>) -> SocketAddr {
+/// Reads the agent's log up to the line with its listen address, and returns the address.
+async fn read_listen_address(log: &mut Lines<BufReader<ChildStderr>>) -> SocketAddr {
     loop {
         let line = within_time_limit("the agent's start", log.next_line()).await;
-        let line = line.expect("a log").expect("a line");
+        let line =
+            line.expect("the log should be readable").expect("the agent should log its listen address");
         if let Some((_, address)) = line.split_once("listening on ") {
-            return address.parse().expect("an address");
+            return address.parse().expect("the listen address should be valid");
         }
     }
 }
--- a/crates/balancer-agent/tests/common/client.rs
+++ b/crates/balancer-agent/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A client of the agent that writes and reads raw bytes.
+//! A client that sends raw bytes to the agent and parses its responses.
 
 use super::messages::{read_message, Message};
 use super::within_time_limit;
@@ -6,38 +6,44 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The client's end of a connection.
+/// The client's end of a connection to the agent.
 pub struct Client {
-    /// The connection, for tests that do more than exchange messages.
+    /// The socket, for tests that do more than send requests and receive responses.
     pub stream: TcpStream,
 }
 
 impl Client {
-    /// Connects to an agent.
+    /// Connects to the agent that listens on this address.
     pub async fn connect(address: SocketAddr) -> Self {
-        Client { stream: TcpStream::connect(address).await.expect("a connection") }
+        Client { stream: TcpStream::connect(address).await.expect("the agent should accept the connection") }
     }
 
-    /// Sends a request or part of one.
+    /// Writes a request, or a part of one, to the connection.
     pub async fn send(&mut self, request: &str) {
-        self.stream.write_all(request.as_bytes()).await.expect("the bytes are written");
+        self.stream.write_all(request.as_bytes()).await.expect("the request should be written");
     }
 
-    /// Returns the next response.
+    /// Waits for the next response and returns it.
     pub async fn receive(&mut self) -> Message {
-        within_time_limit("a response", read_message(&mut self.stream, 0)).await.expect("a complete response")
+        within_time_limit("a response", read_message(&mut self.stream, 0))
+            .await
+            .expect("the response should be complete")
     }
 
-    /// Sends a request and returns its response.
+    /// Sends a request, waits for its response and returns it.
     pub async fn exchange(&mut self, request: &str) -> Message {
         self.send(request).await;
         self.receive().await
     }
 
-    /// Waits until the connection ends. The agent must not send anything before.
+    /// Waits until the agent closes the connection.
+    ///
+    /// # Panics
+    ///
+    /// If the agent sends any bytes before the close.
     pub async fn wait_for_close(&mut self) {
         let mut byte = [0; 1];
-        let read = within_time_limit("the connection's end", self.stream.read(&mut byte)).await;
-        assert!(matches!(read, Ok(0) | Err(_)), "more bytes were received");
+        let read = within_time_limit("the close of the connection", self.stream.read(&mut byte)).await;
+        assert!(matches!(read, Ok(0) | Err(_)), "the agent sent bytes before it closed the connection");
     }
 }
--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -1,30 +1,31 @@
-//! The agent's configuration and its file.
+//! Builds the agent's configuration and writes it to a temporary file.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A deadline that no test reaches.
+/// A request deadline that no test reaches.
 const LONG_DEADLINE_MS: u64 = 60_000;
 
-/// The request classes of the settings, in the order of the settings.
+/// A request class of the settings. The variants are in the order of the settings' list of classes.
 #[derive(Clone, Copy)]
 pub enum RequestClass {
-    /// Idempotent.
+    /// The class `read`, whose requests are idempotent.
     Read,
-    /// Deduplicated by an idempotency key.
+    /// The class `save`, whose requests servers deduplicate by their idempotency key.
     Save,
-    /// Unsafe: at most once.
+    /// The class `pay`, whose requests are unsafe: each may be processed at most once.
     Pay,
 }
 
-/// A valid configuration, which the `with_` methods alter.
+/// A valid configuration of the agent. Each `with_` method changes one setting.
 #[derive(Clone)]
 pub struct AgentConfig(Value);
 
 impl AgentConfig {
-    /// A configuration with this discovery address and a known endpoint list of version 1 with these entries.
+    /// Creates a configuration with this discovery address and a known endpoint list of version 1 with these
+    /// entries.
     pub fn new(discovery: SocketAddr, known_entries: &[Value]) -> Self {
         AgentConfig(json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "0f",
@@ -33,13 +34,13 @@
         }))
     }
 
-    /// Sets the address to listen on.
+    /// Sets the address that the agent listens on.
     pub fn with_listen_address(mut self, address: &str) -> Self {
         self.0["listen"] = address.into();
         self
     }
 
-    /// Sets the address of discovery.
+    /// Sets the address of the discovery service.
     pub fn with_discovery(mut self, address: SocketAddr) -> Self {
         self.0["discovery"] = address.to_string().into();
         self
@@ -51,60 +52,61 @@
         self
     }
 
-    /// Sets how many sockets the agent may have open.
+    /// Sets the maximum number of sockets that the agent may have open.
     pub fn with_socket_limit(mut self, sockets: usize) -> Self {
         self.0["limits"]["sockets"] = sockets.into();
         self
     }
 
-    /// Sets the discovery mode in which updates are sent unrequested, which only the simulator has.
+    /// Sets the discovery mode `pushed`, in which discovery sends updates without a call. Only the simulator
+    /// implements this mode.
     pub fn with_pushed_discovery(mut self) -> Self {
         self.0["settings"]["discovery"] = "pushed".into();
         self
     }
 
-    /// Sets how long a connect to a server may take.
+    /// Sets the timeout for connecting to a server.
     pub fn with_connect_timeout_ms(mut self, milliseconds: u64) -> Self {
         self.0["settings"]["limits"]["connectTimeoutMs"] = milliseconds.into();
         self
     }
 
-    /// Sets after how long servers close an idle connection.
+    /// Sets the time after which servers close an idle connection.
     pub fn with_keep_alive_ms(mut self, milliseconds: u64) -> Self {
         self.0["settings"]["limits"]["keepaliveMs"] = milliseconds.into();
         self
     }
 
-    /// Sets whether rejections may carry `Retry-After`.
+    /// Sets whether the response to a rejected request may have a `Retry-After` header.
     pub fn with_retry_after(mut self, is_allowed: bool) -> Self {
         self.0["settings"]["limits"]["retryAfter"] = is_allowed.into();
         self
     }
 
-    /// Sets for how long a server may still get requests once it is listed as draining.
+    /// Sets the time during which a server may still get requests after it has been listed as draining.
     pub fn with_stop_sending_within_ms(mut self, milliseconds: u64) -> Self {
         self.0["settings"]["rules"]["stopSendingWithinMs"] = milliseconds.into();
         self
     }
 
-    /// Sets the deadline of each class to one that no test reaches.
+    /// Sets the deadline of every class to [`LONG_DEADLINE_MS`].
     pub fn with_long_deadlines(self) -> Self {
         self.with_deadline_ms(RequestClass::Read, LONG_DEADLINE_MS)
             .with_deadline_ms(RequestClass::Save, LONG_DEADLINE_MS)
             .with_deadline_ms(RequestClass::Pay, LONG_DEADLINE_MS)
     }
 
-    /// Sets the deadline of a class.
+    /// Sets the deadline of requests of a class.
     pub fn with_deadline_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "deadlineMs", milliseconds)
     }
 
-    /// Sets the latency objective of a class.
+    /// Sets the latency objective of requests of a class.
     pub fn with_latency_objective_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "aimMs", milliseconds)
     }
 
-    /// Sets for how long servers deduplicate requests of a class.
+    /// Sets the time during which servers deduplicate requests of a class.
     pub fn with_deduplication_window_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "dedupWindowMs", milliseconds)
     }
@@ -114,7 +116,7 @@
         self
     }
 
-    /// The text of the configuration file.
+    /// Returns the text of the configuration file.
     pub fn to_text(&self) -> String {
         self.0.to_string()
     }
@@ -136,11 +138,11 @@
            "dedupWindowMs": 5000, "points": 1})
 }
 
-/// A configuration file in the temporary directory, removed on drop.
+/// A configuration file in the temporary directory. The file is removed on drop.
 pub struct ConfigFile(PathBuf);
 
 impl ConfigFile {
-    /// Creates a new file with this text.
+    /// Creates a file with a unique name and this text.
     pub fn create(text: &str) -> Self {
         static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -152,10 +154,10 @@
 
     /// Replaces the text of the file.
     pub fn replace(&self, text: &str) {
-        std::fs::write(&self.0, text).expect("a file");
+        std::fs::write(&self.0, text).expect("the configuration file should be writable");
     }
 
-    /// The path of the file.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/balancer-agent/tests/common/discovery.rs
+++ b/crates/balancer-agent/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! A scripted discovery service that reports each call to the test, and the endpoint lists that it serves.
+//! A discovery service whose responses the test controls, and the endpoint lists that it serves.
 
 use super::messages::{ok_response, read_message};
 use super::within_time_limit;
@@ -8,20 +8,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// The start time, in Unix milliseconds, of a server process newer than that of [`endpoint_entry`].
-pub const NEW_INCARNATION_MS: u64 = 1_700_000_000_000;
+/// The start time, in Unix milliseconds, of a new process of a server. [`endpoint_entry`] has the start time
+/// 0.
+pub const NEW_INCARNATION_START_MS: u64 = 1_700_000_000_000;
 
 const CHANNEL_CAPACITY: usize = 1024;
-const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n";
+const UNAVAILABLE_503: &[u8] = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n";
 
 /// The health of a server in an endpoint list.
 #[derive(Clone, Copy)]
 pub enum Health {
-    /// It accepts requests.
+    /// The server accepts requests.
     Up,
-    /// It finishes its open requests and accepts no new ones.
+    /// The server completes its open requests and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The server has been removed from the fleet.
     Removed,
 }
 
@@ -35,37 +36,38 @@
     }
 }
 
-/// An entry of an endpoint list, as JSON that a test may alter.
+/// Returns an entry of an endpoint list as JSON, which a test may change.
 pub fn endpoint_entry(name: &str, address: SocketAddr, health: Health) -> Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m", "block": 0,
            "health": health.as_str(), "share": 1.0, "born_ms": 0})
 }
 
-/// The entry of a server that is up.
+/// Returns the entry of a server that is up.
 pub fn up_entry(name: &str, address: SocketAddr) -> Value {
     endpoint_entry(name, address, Health::Up)
 }
 
-/// A complete endpoint list.
+/// Returns a complete endpoint list as JSON.
 pub fn endpoint_list(version: u64, entries: &[Value]) -> Value {
     json!({"seq": version, "whole": true, "hosts": entries})
 }
 
-/// What the discovery service does with a call.
+/// How the discovery service handles a call.
 #[derive(Clone)]
 pub enum DiscoveryBehavior {
-    /// Answers with this list; a watch is answered only once the list is newer than the version that the
-    /// watch names.
+    /// Responds with this list. A watch gets its response only once the list is newer than the version in
+    /// the watch.
     Serve(Value),
-    /// Answers with an error.
+    /// Responds with an error.
     Fail,
-    /// Does not answer.
+    /// Sends no response.
     Silent,
 }
 
 impl DiscoveryBehavior {
-    /// Whether a call that names this version, or none, is handled now.
-    fn is_due(&self, known_version: Option<u64>) -> bool {
+    /// Whether a call can be handled now. `known_version` is the version in the call; `None` if the call is
+    /// not a watch.
+    fn can_handle(&self, known_version: Option<u64>) -> bool {
         match (self, known_version) {
             (DiscoveryBehavior::Serve(list), Some(known_version)) => {
                 list["seq"].as_u64() > Some(known_version)
@@ -77,7 +79,7 @@
     fn response(&self) -> Option<Vec<u8>> {
         match self {
             DiscoveryBehavior::Serve(list) => Some(ok_response(&list.to_string())),
-            DiscoveryBehavior::Fail => Some(UNAVAILABLE.to_vec()),
+            DiscoveryBehavior::Fail => Some(UNAVAILABLE_503.to_vec()),
             DiscoveryBehavior::Silent => None,
         }
     }
@@ -85,56 +87,59 @@
 
 /// A running discovery service.
 pub struct TestDiscovery {
-    /// The address that it listens on.
+    /// The address that the service listens on.
     pub address: SocketAddr,
     behavior: watch::Sender<DiscoveryBehavior>,
+    /// The targets of the calls that have been received and not read by the test.
     calls: mpsc::Receiver<String>,
 }
 
 impl TestDiscovery {
-    /// Starts a discovery service with this behavior. It runs until the end of the test, even if this value
-    /// is dropped.
+    /// Starts a discovery service with this behavior. The service runs until the end of the test, even if the
+    /// returned value is dropped.
     pub async fn start(behavior: DiscoveryBehavior) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port should be free");
+        let address = listener.local_addr().expect("the listener should have an address");
         let (call_sender, calls) = mpsc::channel(CHANNEL_CAPACITY);
         let behavior = watch::Sender::new(behavior);
         tokio::spawn(accept_connections(listener, behavior.clone(), call_sender));
         TestDiscovery { address, behavior, calls }
     }
 
-    /// Starts a discovery service that answers no call.
+    /// Starts a discovery service that sends no responses.
     pub async fn silent() -> Self {
         Self::start(DiscoveryBehavior::Silent).await
     }
 
-    /// Starts a discovery service that has nothing newer than the agent's known list of version 1.
+    /// Starts a discovery service that serves version 1, which the agent already knows.
     pub async fn without_updates() -> Self {
         Self::start(DiscoveryBehavior::Serve(endpoint_list(1, &[]))).await
     }
 
-    /// Changes the behavior for open and future calls.
+    /// Sets the behavior for open and future calls.
     pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
         self.behavior.send_replace(behavior);
     }
 
-    /// Serves a complete list from now on.
+    /// Serves a complete list with these entries from now on.
     pub fn publish(&self, version: u64, entries: &[Value]) {
         self.set_behavior(DiscoveryBehavior::Serve(endpoint_list(version, entries)));
     }
 
-    /// Serves a list of changes from now on.
+    /// Serves a list of changes with these entries from now on.
     pub fn publish_changes(&self, version: u64, entries: &[Value]) {
         let changes = json!({"seq": version, "whole": false, "hosts": entries});
         self.set_behavior(DiscoveryBehavior::Serve(changes));
     }
 
-    /// Waits for the next call and returns its target.
+    /// Waits for the next call and returns its request target.
     pub async fn next_call(&mut self) -> String {
-        within_time_limit("a call to discovery", self.calls.recv()).await.expect("a call")
+        within_time_limit("a call to discovery", self.calls.recv())
+            .await
+            .expect("the discovery service should be running")
     }
 
-    /// Discards the calls that the test has not read.
+    /// Discards the calls that have been received and not read by the test.
     pub fn discard_calls(&mut self) {
         while self.calls.try_recv().is_ok() {}
     }
@@ -157,25 +162,25 @@
 ) {
     while let Some(request) = read_message(&mut stream, 0).await {
         let target = request.target().to_owned();
-        // Fails if the test has dropped its `TestDiscovery`, as it does not check the calls.
+        // Sending fails if the test has dropped its `TestDiscovery` because it does not check the calls.
         let _ = calls.send(target.clone()).await;
-        let Some(response) = due_response(&mut behavior, known_version(&target)).await else { continue };
+        let Some(response) = wait_for_response(&mut behavior, known_version(&target)).await else { continue };
         if stream.write_all(&response).await.is_err() {
             return;
         }
     }
 }
 
-/// Waits for a behavior that handles the call. Returns the response; `None` if it leaves the call unanswered.
-async fn due_response(
+/// Waits until the behavior can handle the call, and returns the response; `None` if the behavior sends none.
+async fn wait_for_response(
     behavior: &mut watch::Receiver<DiscoveryBehavior>,
     known_version: Option<u64>,
 ) -> Option<Vec<u8>> {
-    let due_behavior = behavior.wait_for(|behavior| behavior.is_due(known_version)).await;
-    due_behavior.expect("a behavior").response()
+    let current_behavior = behavior.wait_for(|behavior| behavior.can_handle(known_version)).await;
+    current_behavior.expect("the sender of the behavior should be open").response()
 }
 
-/// The version that a watch names; `None` for a call that is no watch.
+/// Returns the version in the target of a watch; `None` if the call is not a watch.
 fn known_version(target: &str) -> Option<u64> {
     let (_, value) = target.split_once("after=")?;
     value.split('&').next()?.parse().ok()
--- a/crates/balancer-agent/tests/common/messages.rs
+++ b/crates/balancer-agent/tests/common/messages.rs
@@ -1,48 +1,48 @@
-//! HTTP/1.1 messages: requests of clients, responses of scripted servers, and a simple reader.
+//! Builds and reads HTTP/1.1 messages.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// A readiness request to the agent.
+/// A readiness request.
 pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-/// A 503 after which the request may have been processed.
+/// A 503 response that does not say whether the request was processed.
 pub const PLAIN_503: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-/// A 503 that proves that the request was not processed.
+/// A 503 response with the header that proves that the request was not processed.
 pub const NOT_PROCESSED_503: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-/// The head and the body of a request or a response.
+/// A request or a response.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// The number of the connection that it was received on, counted from 0.
+    /// The number of the connection on which the message was received, counted from 0.
     pub connection: usize,
-    /// The first line, the headers and the empty line.
+    /// The first line, the headers and the empty line after them.
     pub head: String,
-    /// The body; empty without a `Content-Length`.
+    /// The body, which is empty if the head has no `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The request line or the status line.
+    /// Returns the request line or the status line.
     pub fn first_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
 
-    /// The target of a request.
+    /// Returns the target of a request.
     pub fn target(&self) -> &str {
         self.first_line().split(' ').nth(1).unwrap_or_default()
     }
 
-    /// The status code of a response; 0 if it has none.
+    /// Returns the status code of a response; 0 if the status line has no valid code.
     pub fn status(&self) -> u16 {
         self.first_line().split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// The value of the first header of this name.
+    /// Returns the value of the first header of this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().skip(1);
         let mut headers = lines.filter_map(|line| line.split_once(':'));
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads one message; `None` if the connection ends first.
+/// Reads one message; `None` if the connection is closed before its end.
 pub async fn read_message(stream: &mut TcpStream, connection: usize) -> Option<Message> {
     let ReceivedHead { head, rest: mut body } = read_head(stream).await?;
     let mut message = Message { connection, head, body: Vec::new() };
@@ -68,13 +68,13 @@
     Some(message)
 }
 
-/// A head, and the bytes after it that were received with it.
+/// A head, and the bytes after the head that were received with it.
 struct ReceivedHead {
     head: String,
     rest: Vec<u8>,
 }
 
-/// Reads up to the end of a head; `None` if the connection ends first.
+/// Reads up to the end of a head; `None` if the connection is closed before it.
 async fn read_head(stream: &mut TcpStream) -> Option<ReceivedHead> {
     let mut bytes = Vec::new();
     let end = loop {
@@ -90,23 +90,24 @@
     Some(ReceivedHead { head, rest })
 }
 
-/// A 200 response with this body.
+/// Returns a 200 response with this body.
 pub fn ok_response(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// A GET request of the class that the path begins with, with a new request id.
+/// Returns a GET request with a new request id. The first segment of the path names the request class.
 pub fn get_request(path: &str, timeout: &str) -> String {
     format!("{}\r\n", head_without_length("GET", path, timeout))
 }
 
-/// A POST request of the class that the path begins with, with a new request id. In the class `save` it has
-/// an idempotency key.
+/// Returns a POST request with a new request id. The first segment of the path names the request class; a
+/// request of the class `save` has an idempotency key.
 pub fn post_request(path: &str, timeout: &str, body: &str) -> String {
     let head = head_without_length("POST", path, timeout);
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
+/// Returns a request head without `Content-Length` and without the empty line at its end.
 fn head_without_length(method: &str, path: &str, timeout: &str) -> String {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
@@ -118,7 +119,7 @@
     )
 }
 
-/// A POST request with a chunked body that begins with these chunks.
+/// Returns a POST request with a chunked body that begins with these chunks.
 pub fn chunked_post_request(path: &str, timeout: &str, chunks: &str) -> String {
     let request = post_request(path, timeout, "");
     request.replace("Content-Length: 0", "Transfer-Encoding: chunked") + chunks
--- a/crates/balancer-agent/tests/common/mod.rs
+++ b/crates/balancer-agent/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A harness for the agent on loopback sockets: scripted servers and discovery, the agent's process, and
-//! clients that write and read raw bytes.
+//! The test harness: runs the agent's process on loopback sockets, with servers, clients and a discovery
+//! service that the test controls.
 #![allow(dead_code, reason = "each test file is a separate crate and uses only part of the harness")]
 
 pub mod agent;
@@ -15,14 +15,15 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// How long a test waits for anything. What a test waits for takes far less time, even on a busy machine.
+/// The longest time that a test waits for one event. Every expected event takes far less time, even on a busy
+/// machine.
 const TIME_LIMIT: Duration = Duration::from_secs(30);
 
-/// Awaits a future.
+/// Waits for a future and returns its output.
 ///
 /// # Panics
 ///
-/// If the future is not ready within the time limit; `what` names it in the message.
-pub async fn within_time_limit<T>(what: &str, future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(TIME_LIMIT, future).await.unwrap_or_else(|_| panic!("{what} did not happen"))
+/// If the future is not ready within the time limit. `event` describes the future in the message.
+pub async fn within_time_limit<T>(event: &str, future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(TIME_LIMIT, future).await.unwrap_or_else(|_| panic!("timed out waiting for {event}"))
 }
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -1,4 +1,4 @@
-//! A scripted server that reports each request to the test.
+//! A server whose replies the test controls, and which reports each request to the test.
 
 use super::messages::{ok_response, read_message, Message};
 use super::within_time_limit;
@@ -11,12 +11,12 @@
 
 const CHANNEL_CAPACITY: usize = 1024;
 
-/// Holds back responses until the test releases them.
+/// Holds responses until the test releases them.
 #[derive(Clone, Default)]
 pub struct ResponseGate(Arc<Notify>);
 
 impl ResponseGate {
-    /// Releases one response: a held one, or else the next one.
+    /// Releases one held response, or the next response if none is held now.
     pub fn release_one(&self) {
         self.0.notify_one();
     }
@@ -31,21 +31,21 @@
     }
 }
 
-/// What a test server does with a request.
+/// How a test server replies to a request.
 #[derive(Clone)]
 pub enum ServerReply {
     /// Sends these bytes and keeps the connection open.
     KeepOpen(Vec<u8>),
-    /// Sends these bytes and shuts down the server's side of the connection.
+    /// Sends these bytes and shuts down the server's write half of the connection.
     Close(Vec<u8>),
-    /// Sends these bytes once the test releases them, and keeps the connection open.
+    /// Sends these bytes once the gate releases them, and keeps the connection open.
     WhenReleased(ResponseGate, Vec<u8>),
     /// Sends nothing and keeps the connection open.
     Silent,
 }
 
 impl ServerReply {
-    /// Sends the reply. Errors are ignored: the test checks what the agent has received.
+    /// Sends the reply. Write errors are ignored, as the test checks what the agent has received.
     async fn send(self, stream: &mut TcpStream) {
         match self {
             ServerReply::KeepOpen(bytes) => stream.write_all(&bytes).await.unwrap_or(()),
@@ -64,19 +64,21 @@
 
 /// A running test server.
 pub struct TestServer {
-    /// The address that it listens on.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     /// The requests that have been received and not read by the test.
     pub requests: mpsc::Receiver<Message>,
+    /// The number of accepted connections.
     accepted: Arc<AtomicUsize>,
+    /// The numbers of the connections that the agent has closed.
     closed: mpsc::Receiver<usize>,
 }
 
 impl TestServer {
-    /// Starts a server that replies to each request as the script says.
+    /// Starts a server that replies to each request with the result of `script`.
     pub async fn start(script: impl Fn(&Message) -> ServerReply + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port should be free");
+        let address = listener.local_addr().expect("the listener should have an address");
         let (request_sender, requests) = mpsc::channel(CHANNEL_CAPACITY);
         let (closed_sender, closed) = mpsc::channel(CHANNEL_CAPACITY);
         let accepted = Arc::new(AtomicUsize::new(0));
@@ -92,8 +94,8 @@
         Self::start(move |_| ServerReply::KeepOpen(response.clone())).await
     }
 
-    /// Starts a server that sends these replies in turn, and repeats the last one.
-    pub async fn replying_in_turn(replies: Vec<ServerReply>) -> Self {
+    /// Starts a server that sends these replies in order, and the last one to every further request.
+    pub async fn replying_in_order(replies: Vec<ServerReply>) -> Self {
         let count = AtomicUsize::new(0);
         Self::start(move |_| {
             let number = count.fetch_add(1, Ordering::SeqCst);
@@ -102,15 +104,15 @@
         .await
     }
 
-    /// Starts a server that replies to each request with a 200 response with this body once the gate releases
-    /// it.
+    /// Starts a server that replies to each request with a 200 response with this body, which it sends once
+    /// the gate releases it.
     pub async fn holding_responses(gate: &ResponseGate, body: &str) -> Self {
         let held_reply = ServerReply::WhenReleased(gate.clone(), ok_response(body));
         Self::start(move |_| held_reply.clone()).await
     }
 
-    /// Starts a server that sends this response to each payment once the gate releases it, and replies to
-    /// other requests at once.
+    /// Starts a server that sends this response to each request of the class `pay` once the gate releases it,
+    /// and replies to other requests at once.
     pub async fn holding_payments(
         gate: &ResponseGate,
         payment_response: Vec<u8>,
@@ -130,28 +132,30 @@
 
     /// Waits for the next request.
     pub async fn next_request(&mut self) -> Message {
-        within_time_limit("a request at the server", self.requests.recv()).await.expect("a request")
+        within_time_limit("a request at the server", self.requests.recv())
+            .await
+            .expect("the test server should be running")
     }
 
-    /// Whether a request has been received that the test has not read.
-    pub fn has_further_request(&mut self) -> bool {
+    /// Whether a request has been received and not read by the test. Removes that request from the queue.
+    pub fn has_unread_request(&mut self) -> bool {
         self.requests.try_recv().is_ok()
     }
 
-    /// Waits until the agent closes a connection, and returns the connection's number.
+    /// Waits until the agent has closed a connection, and returns the number of the connection.
     pub async fn next_closed_connection(&mut self) -> usize {
         within_time_limit("a closed connection at the server", self.closed.recv())
             .await
-            .expect("a closed connection")
+            .expect("the test server should be running")
     }
 
-    /// How many connections have been accepted.
+    /// Returns the number of connections that have been accepted.
     pub fn accepted_connections(&self) -> usize {
         self.accepted.load(Ordering::SeqCst)
     }
 }
 
-/// What the connections of a server have in common.
+/// Serves the connections of a server. Each connection has a clone.
 #[derive(Clone)]
 struct ConnectionHandler {
     script: Arc<dyn Fn(&Message) -> ServerReply + Send + Sync>,
@@ -170,7 +174,7 @@
     async fn serve(self, mut stream: TcpStream, number: usize) {
         while let Some(request) = read_message(&mut stream, number).await {
             let reply = (self.script)(&request);
-            // Fails if the test does not read the requests.
+            // Sending fails if the channel is full because the test does not read the requests.
             let _ = self.requests.try_send(request);
             reply.send(&mut stream).await;
         }
--- a/crates/balancer-agent/tests/common/setup.rs
+++ b/crates/balancer-agent/tests/common/setup.rs
@@ -1,4 +1,4 @@
-//! Starts an agent that knows one server, with the configuration that most tests use.
+//! Starts an agent with one known server and the configuration that most tests use.
 
 use super::agent::Agent;
 use super::config::AgentConfig;
@@ -6,27 +6,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The name of the one server in the agent's known endpoint list.
+/// The name of the only server in the agent's known endpoint list.
 pub const SERVER_NAME: &str = "s";
 
-/// A socket limit that is low enough for the clients of a test to use up all connections.
-pub const FEW_SOCKETS: usize = 80;
+/// A socket limit of the agent that is low enough for the clients of one test to use up all connection slots.
+pub const LOW_SOCKET_LIMIT: usize = 80;
 
-/// A time after SIGTERM when new connections are no longer accepted, well before SIGKILL with deadlines of 3
-/// s.
-pub const AFTER_LAST_ACCEPT: Duration = Duration::from_secs(1);
+/// The delay from SIGTERM to a time when the agent has stopped accepting connections. SIGKILL follows well
+/// after this time if the longest deadline is 3 s.
+pub const DELAY_PAST_ACCEPT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Starts an agent that knows the server at this address. Its discovery answers no call.
+/// Starts an agent whose known endpoint list holds the server at this address. Its discovery service sends no
+/// responses.
 pub async fn start_agent(server: SocketAddr) -> Agent {
     start_configured_agent(server, |config| config).await
 }
 
-/// Like [`start_agent`], with [`FEW_SOCKETS`].
-pub async fn start_agent_with_few_sockets(server: SocketAddr) -> Agent {
-    start_configured_agent(server, |config| config.with_socket_limit(FEW_SOCKETS)).await
+/// Starts an agent like [`start_agent`], with [`LOW_SOCKET_LIMIT`].
+pub async fn start_agent_with_low_socket_limit(server: SocketAddr) -> Agent {
+    start_configured_agent(server, |config| config.with_socket_limit(LOW_SOCKET_LIMIT)).await
 }
 
-/// Like [`start_agent`], with an altered configuration.
+/// Starts an agent like [`start_agent`], with the configuration that `configure` returns.
 pub async fn start_configured_agent(
     server: SocketAddr,
     configure: impl FnOnce(AgentConfig) -> AgentConfig,
@@ -34,7 +35,7 @@
     start_agent_with_discovery(&TestDiscovery::silent().await, server, configure).await
 }
 
-/// Like [`start_configured_agent`], with this discovery service.
+/// Starts an agent like [`start_configured_agent`], with this discovery service.
 pub async fn start_agent_with_discovery(
     discovery: &TestDiscovery,
     server: SocketAddr,
@@ -44,7 +45,8 @@
     Agent::start(&configure(config)).await
 }
 
-/// Like [`start_agent_with_discovery`]; returns once the agent's first call has been received.
+/// Starts an agent like [`start_agent_with_discovery`], and waits until the discovery service has received
+/// the agent's first call.
 pub async fn start_watching_agent(
     discovery: &mut TestDiscovery,
     server: SocketAddr,
--- a/crates/balancer-agent/tests/connection_close.rs
+++ b/crates/balancer-agent/tests/connection_close.rs
@@ -1,4 +1,5 @@
-//! Closing of client connections: when the agent closes one, and that the close cuts off no response.
+//! Tests of the close of client connections: when the agent closes a connection, and that the close truncates
+//! no response.
 
 mod common;
 use common::agent::Agent;
@@ -7,7 +8,9 @@
 use common::kernel::is_close_unacknowledged;
 use common::messages::{get_request, ok_response};
 use common::server::{ServerReply, TestServer};
-use common::setup::{start_agent_with_few_sockets, start_configured_agent, AFTER_LAST_ACCEPT, FEW_SOCKETS};
+use common::setup::{
+    start_agent_with_low_socket_limit, start_configured_agent, DELAY_PAST_ACCEPT_PERIOD, LOW_SOCKET_LIMIT,
+};
 use common::sockets::small_buffer_connection;
 use common::within_time_limit;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,21 +22,25 @@
     "x".repeat(LARGE_BODY_BYTES)
 }
 
-/// A client with a very small receive buffer that has requested a response too large for it.
+/// Connects a client with a very small receive buffer, and requests a response that is too large for the
+/// buffer. Returns once the first byte of the response has arrived.
 async fn connect_slow_client(agent: &Agent) -> Client {
     let mut client = Client { stream: small_buffer_connection(agent.address).await };
     client.send(&get_request("/read/large", "60000m")).await;
     let mut first_byte = [0];
-    within_time_limit("a response", client.stream.peek(&mut first_byte)).await.expect("the first byte");
+    within_time_limit("a response", client.stream.peek(&mut first_byte))
+        .await
+        .expect("the first byte should arrive");
     client
 }
 
-/// Clients abandon connections faster than idle ones are closed. Once slot usage is high, each response
-/// announces that it closes its connection; before that, none does.
+/// Clients abandon connections faster than the agent closes idle ones. Once slot usage is high, each response
+/// has a `Connection: close` header, and the agent then closes the connection. Before that, no response has
+/// it.
 #[tokio::test]
 async fn responses_close_their_connections_at_high_slot_usage() {
     let server = TestServer::responding_with("x").await;
-    let agent = start_agent_with_few_sockets(server.address).await;
+    let agent = start_agent_with_low_socket_limit(server.address).await;
 
     let mut kept_clients = Vec::new();
     loop {
@@ -45,12 +52,15 @@
             break;
         }
         kept_clients.push(client);
-        assert!(kept_clients.len() < FEW_SOCKETS, "more connections than the agent has sockets");
+        assert!(
+            kept_clients.len() < LOW_SOCKET_LIMIT,
+            "the agent keeps more connections than its socket limit"
+        );
     }
     assert!(kept_clients.len() >= 5, "a connection was closed at low slot usage");
 }
 
-/// A connection whose response is being written is neither idle nor evicted.
+/// While a response is being written, its connection does not count as idle and is not evicted.
 #[tokio::test]
 async fn a_connection_with_an_unfinished_response_is_not_idle() {
     let server = TestServer::start(|request| {
@@ -59,9 +69,9 @@
         ServerReply::KeepOpen(ok_response(&body))
     })
     .await;
-    // With a quarter of the slots in use, connections are closed when they have been idle for 2.05 s.
+    // With a quarter of the slots in use, the agent closes connections that have been idle for 2.05 s.
     let agent = start_configured_agent(server.address, |config| {
-        config.with_long_deadlines().with_socket_limit(FEW_SOCKETS)
+        config.with_long_deadlines().with_socket_limit(LOW_SOCKET_LIMIT)
     })
     .await;
     let mut slow_client = connect_slow_client(&agent).await;
@@ -80,7 +90,7 @@
     assert_eq!((response.status(), response.body.len()), (200, LARGE_BODY_BYTES));
 }
 
-/// The agent does not exit before its clients have received their responses.
+/// After SIGTERM, the agent does not exit before a slow client has received its response.
 #[tokio::test]
 async fn a_slow_client_receives_its_response_before_the_agent_exits() {
     let server = TestServer::responding_with(&large_body()).await;
@@ -88,7 +98,7 @@
     let mut client = connect_slow_client(&agent).await;
 
     agent.send_sigterm().await;
-    sleep(AFTER_LAST_ACCEPT).await;
+    sleep(DELAY_PAST_ACCEPT_PERIOD).await;
 
     let response = client.receive().await;
     assert_eq!((response.status(), response.body.len()), (200, LARGE_BODY_BYTES));
@@ -96,27 +106,28 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// A client sends more bytes while the agent closes the connection after its last response. Closing a socket
-/// with unread bytes would reset the connection, and the client would lose the rest of the response.
+/// A client sends more bytes while the agent closes the connection after the last response. If the agent
+/// closed the socket with unread bytes, the kernel would reset the connection, and the client would lose the
+/// rest of the response.
 #[tokio::test]
 async fn a_response_survives_request_bytes_that_arrive_during_the_close() {
     let server = TestServer::responding_with(&large_body()).await;
     let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
     let mut client = connect_slow_client(&agent).await;
-    let client_address = client.stream.local_addr().expect("an address");
+    let client_address = client.stream.local_addr().expect("the socket should have an address");
 
     agent.send_sigterm().await;
     let mut response = Vec::new();
-    let mut part = [0; 64];
+    let mut buffer = [0; 64];
     while !is_close_unacknowledged(agent.address, client_address) {
-        let read = within_time_limit("more of the response", client.stream.read(&mut part)).await;
-        response.extend_from_slice(&part[..read.expect("the response is cut")]);
+        let read = within_time_limit("more of the response", client.stream.read(&mut buffer)).await;
+        response.extend_from_slice(&buffer[..read.expect("the response should not be truncated")]);
     }
-    client.stream.write_all(b"x").await.expect("it is written");
+    client.stream.write_all(b"x").await.expect("the byte should be written");
 
     within_time_limit("the rest of the response", client.stream.read_to_end(&mut response))
         .await
-        .expect("the response is cut");
+        .expect("the response should not be truncated");
     assert!(response.ends_with(large_body().as_bytes()), "{} bytes were received", response.len());
     assert!(agent.wait_for_exit().await.success());
 }
--- a/crates/balancer-agent/tests/discovery_watch.rs
+++ b/crates/balancer-agent/tests/discovery_watch.rs
@@ -1,10 +1,11 @@
-//! The watch on the endpoint list: when it is continued or retried, and what each update changes.
+//! Tests of the watch of the endpoint list: when the agent continues or retries the watch, and how it applies
+//! each update.
 
 mod common;
 use common::agent::Agent;
 use common::config::AgentConfig;
 use common::discovery::{
-    endpoint_entry, up_entry, DiscoveryBehavior, Health, TestDiscovery, NEW_INCARNATION_MS,
+    endpoint_entry, up_entry, DiscoveryBehavior, Health, TestDiscovery, NEW_INCARNATION_START_MS,
 };
 use common::server::TestServer;
 use common::setup::{start_agent_with_discovery, start_watching_agent, SERVER_NAME};
@@ -12,7 +13,7 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// Each watch names the version of the last answer, and a draining server gets no new requests.
+/// Each watch names the version of the last endpoint list, and a draining server gets no new requests.
 #[tokio::test]
 async fn the_endpoint_list_is_watched_and_a_draining_server_gets_no_new_requests() {
     let mut old_server = TestServer::responding_with("old").await;
@@ -24,25 +25,25 @@
     old_server.next_request().await;
 
     let published_at = Instant::now();
-    let draining = endpoint_entry(SERVER_NAME, old_server.address, Health::Draining);
-    let malformed = json!({"host": 3});
-    discovery.publish(2, &[draining, up_entry("new", new_server.address), malformed]);
+    let draining_entry = endpoint_entry(SERVER_NAME, old_server.address, Health::Draining);
+    let malformed_entry = json!({"host": 3});
+    discovery.publish(2, &[draining_entry, up_entry("new", new_server.address), malformed_entry]);
 
-    // The next call shows that the list has been applied.
+    // The agent makes the next call after it has applied the list.
     assert!(discovery.next_call().await.starts_with("/v1/endpoints?after=2&wait_ms="));
     for _ in 0..20 {
         assert_eq!(agent.get("/read").await.body, b"new");
     }
-    assert!(!old_server.has_further_request(), "sent to a draining server");
+    assert!(!old_server.has_unread_request(), "a request was sent to a draining server");
     assert_eq!(old_server.next_closed_connection().await, 0);
     assert!(
         published_at.elapsed() < Duration::from_secs(6),
-        "closed by the idle limit of 7 s, not the drain"
+        "the connection was closed by the idle limit of 7 s, not because the server is draining"
     );
 }
 
-/// `pushed` discovery exists in the simulator only, where updates are sent unrequested. On sockets the list
-/// has to be watched whatever the settings say.
+/// The discovery mode `pushed`, in which discovery sends updates without a call, exists only in the
+/// simulator. The agent has to watch the list in any mode.
 #[tokio::test]
 async fn the_endpoint_list_is_watched_even_if_the_settings_say_pushed() {
     let mut old_server = TestServer::responding_with("old").await;
@@ -54,38 +55,40 @@
     assert_eq!(agent.get("/read").await.body, b"old");
     old_server.next_request().await;
 
-    let draining = endpoint_entry(SERVER_NAME, old_server.address, Health::Draining);
-    discovery.publish(2, &[draining, up_entry("new", new_server.address)]);
+    let draining_entry = endpoint_entry(SERVER_NAME, old_server.address, Health::Draining);
+    discovery.publish(2, &[draining_entry, up_entry("new", new_server.address)]);
 
     assert!(discovery.next_call().await.starts_with("/v1/endpoints?after=2&wait_ms="));
     assert_eq!(agent.get("/read").await.body, b"new");
-    assert!(!old_server.has_further_request(), "sent to a draining server");
+    assert!(!old_server.has_unread_request(), "a request was sent to a draining server");
 }
 
-/// A server with a new address or a new start time is a new process: old connections are not reused.
+/// A server with a new address or a new start time is a new process, so the agent does not reuse old
+/// connections.
 #[tokio::test]
 async fn a_new_address_or_incarnation_means_new_connections() {
-    let mut first = TestServer::responding_with("1").await;
-    let mut second = TestServer::responding_with("2").await;
+    let mut first_server = TestServer::responding_with("1").await;
+    let mut second_server = TestServer::responding_with("2").await;
     let mut discovery = TestDiscovery::without_updates().await;
-    let agent = start_watching_agent(&mut discovery, first.address, |config| config).await;
+    let agent = start_watching_agent(&mut discovery, first_server.address, |config| config).await;
     assert_eq!(agent.get("/read").await.body, b"1");
-    first.next_request().await;
+    first_server.next_request().await;
 
-    discovery.publish(2, &[up_entry(SERVER_NAME, second.address)]);
+    discovery.publish(2, &[up_entry(SERVER_NAME, second_server.address)]);
     discovery.next_call().await;
     assert_eq!(agent.get("/read").await.body, b"2");
-    assert_eq!(second.next_request().await.connection, 0);
+    assert_eq!(second_server.next_request().await.connection, 0);
 
-    let mut restarted = up_entry(SERVER_NAME, second.address);
-    restarted["born_ms"] = NEW_INCARNATION_MS.into();
-    discovery.publish(3, &[restarted]);
+    let mut restarted_entry = up_entry(SERVER_NAME, second_server.address);
+    restarted_entry["born_ms"] = NEW_INCARNATION_START_MS.into();
+    discovery.publish(3, &[restarted_entry]);
     discovery.next_call().await;
     assert_eq!(agent.get("/read").await.body, b"2");
-    assert_eq!(second.next_request().await.connection, 1);
+    assert_eq!(second_server.next_request().await.connection, 1);
 }
 
-/// An address is assigned to another server: connections to the old server are not reused.
+/// After an address has been assigned to another server, the agent does not reuse connections to the old
+/// server.
 #[tokio::test]
 async fn an_address_reused_by_another_server_means_new_connections() {
     let server_name = |number: usize| format!("s{number}");
@@ -98,16 +101,16 @@
     for number in 0..4 {
         assert_eq!(agent.get("/read").await.status(), 200);
         assert_eq!(server.next_request().await.connection, number);
-        let added = up_entry(&server_name(number + 1), server.address);
-        let removed = endpoint_entry(&server_name(number), server.address, Health::Removed);
-        discovery.publish_changes(number as u64 + 2, &[added, removed]);
+        let added_entry = up_entry(&server_name(number + 1), server.address);
+        let removed_entry = endpoint_entry(&server_name(number), server.address, Health::Removed);
+        discovery.publish_changes(number as u64 + 2, &[added_entry, removed_entry]);
         discovery.next_call().await;
     }
 }
 
-/// The watch is retried if discovery answers with an error, and if it does not answer.
+/// The agent retries a watch if discovery responds with an error or does not respond.
 #[tokio::test]
-async fn a_failed_or_unanswered_watch_is_retried() {
+async fn a_watch_with_an_error_or_no_response_is_retried() {
     let server = TestServer::responding_with("x").await;
     let mut discovery = TestDiscovery::start(DiscoveryBehavior::Fail).await;
     let agent = Agent::start(&AgentConfig::new(discovery.address, &[])).await;
@@ -116,7 +119,7 @@
 
     discovery.set_behavior(DiscoveryBehavior::Silent);
     discovery.next_call().await;
-    // The open call stays unanswered, so the agent only gets this list by retrying.
+    // The open call gets no response, so the agent gets this list only if it retries the watch.
     discovery.publish(2, &[up_entry(SERVER_NAME, server.address)]);
     discovery.next_call().await;
 
@@ -124,8 +127,8 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// A change that discovery learns of while no watch is open counts as notified at once, so the retry delay
-/// stays short even after many failures.
+/// A change of the list counts as notified at once if no watch is open. The delay before the agent retries
+/// the watch therefore stays short even after many failures.
 #[tokio::test]
 async fn the_watch_retry_delay_stays_within_the_drain_notice() {
     let server = TestServer::responding_with("x").await;
@@ -135,28 +138,28 @@
     })
     .await;
 
-    let started = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..12 {
         discovery.next_call().await;
     }
 
-    // Each delay is at most 125 ms. Delays that double without a bound would add up to 8 s or more.
-    assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
+    // Each delay is at most 125 ms. Delays that double without a limit would add up to 8 s or more.
+    assert!(started_at.elapsed() < Duration::from_secs(6), "{:?}", started_at.elapsed());
 }
 
-/// Lists that lack their entries, are nested too deeply or are too long.
+/// Returns endpoint lists without valid entries, with nesting that is too deep, and over the size limit.
 fn malformed_lists() -> [Value; 4] {
-    let nested = (0..200).fold(json!([]), |inner, _| json!([inner]));
+    let nested_array = (0..200).fold(json!([]), |inner, _| json!([inner]));
     [
         json!({"seq": 7, "whole": true}),
         json!({"seq": 7, "whole": true, "hosts": {}}),
-        json!({"seq": 7, "whole": true, "hosts": [], "deep": nested}),
+        json!({"seq": 7, "whole": true, "hosts": [], "deep": nested_array}),
         json!({"seq": 7, "whole": true, "hosts": {}, "filler": vec![json!([]); 1_300_000]}),
     ]
 }
 
-/// After a malformed or oversized list the known endpoints stay in use, memory use stays low, and the next
-/// valid list is applied.
+/// After a malformed or oversized list, the agent continues to use the known endpoints, uses little memory,
+/// and applies the next valid list.
 #[tokio::test]
 async fn a_malformed_or_oversized_endpoint_list_is_ignored() {
     let old_server = TestServer::responding_with("old").await;
@@ -168,10 +171,11 @@
     .await;
     discovery.next_call().await;
 
-    for malformed in malformed_lists() {
+    for malformed_list in malformed_lists() {
         discovery.discard_calls();
-        discovery.set_behavior(DiscoveryBehavior::Serve(malformed));
-        // A call that may have been in flight, one that got this list, and one after the list was handled.
+        discovery.set_behavior(DiscoveryBehavior::Serve(malformed_list));
+        // The first call may have been in flight before, the second gets this list, and the agent makes the
+        // third after it has handled the list.
         for _ in 0..3 {
             discovery.next_call().await;
         }
@@ -180,5 +184,8 @@
     assert!(agent.peak_memory_kb() < 32 << 10, "{} kB", agent.peak_memory_kb());
 
     discovery.publish(8, &[up_entry("new", new_server.address)]);
-    within_time_limit("the valid list", async { while agent.get("/read").await.body != b"new" {} }).await;
+    within_time_limit("a response under the valid list", async {
+        while agent.get("/read").await.body != b"new" {}
+    })
+    .await;
 }
--- a/crates/balancer-agent/tests/reconfiguration.rs
+++ b/crates/balancer-agent/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the agent reloads its configuration, in service and during graceful shutdown.
+//! Tests of SIGHUP, on which the agent reloads its configuration, also during the graceful shutdown.
 
 mod common;
 use common::agent::{agent_command, Agent};
@@ -10,7 +10,7 @@
 use common::within_time_limit;
 use tokio::io::AsyncReadExt;
 
-/// Starts an agent that has the discovery address in its environment as well.
+/// Starts an agent that gets the discovery address from both its configuration file and `PROXY_DISCOVERY`.
 async fn start_agent_with_discovery_variable(config: &AgentConfig, discovery: &TestDiscovery) -> Agent {
     let config_file = ConfigFile::create(&config.to_text());
     let mut command = agent_command(&config_file);
@@ -18,8 +18,9 @@
     Agent::spawn(command, config_file).await
 }
 
-/// After SIGHUP the agent requests the complete list, whatever its version, from the new discovery address in
-/// the file; open requests are not affected. `PROXY_DISCOVERY` applies to the start only.
+/// After SIGHUP, the agent requests the complete list from the new discovery address in the file, even if the
+/// version that it knows is higher. Open requests are not affected. `PROXY_DISCOVERY` applies only to the
+/// start.
 #[tokio::test]
 async fn a_reload_switches_to_the_new_discovery_address() {
     let other_reply = ServerReply::KeepOpen(ok_response("old"));
@@ -36,7 +37,7 @@
     let mut paying_client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     old_server.next_request().await;
 
-    // An invalid file changes nothing, and neither it nor a second SIGHUP ends the agent.
+    // An invalid file changes nothing, and neither the file nor a second SIGHUP ends the agent.
     agent.replace_config("{ half a file");
     agent.send_sighup().await;
     agent.send_sighup().await;
@@ -46,8 +47,12 @@
     for _ in 0..3 {
         agent.send_sighup().await;
     }
-    assert_eq!(new_discovery.next_call().await, "/v1/endpoints", "must request the complete list");
-    // The next watch shows that the list has been applied.
+    assert_eq!(
+        new_discovery.next_call().await,
+        "/v1/endpoints",
+        "the agent should request the complete list"
+    );
+    // The agent begins the next watch after it has applied the list.
     within_time_limit("the new watch", async {
         while !new_discovery.next_call().await.contains("after=1&") {}
     })
@@ -61,7 +66,7 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// Discovery moves during the shutdown, while a request is open.
+/// The address of discovery changes during the graceful shutdown, while a request is open.
 #[tokio::test]
 async fn a_reload_takes_effect_during_graceful_shutdown() {
     let gate = ResponseGate::default();
@@ -82,6 +87,6 @@
     gate.release_one();
     assert_eq!(client.receive().await.status(), 200);
     let mut rest = Vec::new();
-    assert_eq!(client.stream.read_to_end(&mut rest).await.expect("a close"), 0);
+    assert_eq!(client.stream.read_to_end(&mut rest).await.expect("the agent should close the connection"), 0);
     assert!(agent.wait_for_exit().await.success());
 }
--- a/crates/balancer-agent/tests/request_validation.rs
+++ b/crates/balancer-agent/tests/request_validation.rs
@@ -1,14 +1,15 @@
-//! Requests that the agent rejects as invalid: bad headers, ambiguous or excessive lengths, and ids in use.
+//! Tests of requests that the agent rejects as invalid: wrong headers, ambiguous or excessive lengths, and
+//! ids of open requests.
 
 mod common;
 use common::messages::{chunked_post_request, get_request, post_request};
 use common::server::{ResponseGate, TestServer};
 use common::setup::start_agent;
 
-/// The size limit of a body.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// An invalid request and the status of its rejection.
+/// An invalid request and the status code of the response to it.
 struct InvalidRequest {
     text: String,
     status: u16,
@@ -43,8 +44,13 @@
     let mut server = TestServer::responding_with("x").await;
     let agent = start_agent(server.address).await;
 
-    for invalid in invalid_requests() {
-        assert_eq!(agent.exchange(&invalid.text).await.status(), invalid.status, "{}", invalid.text);
+    for invalid_request in invalid_requests() {
+        assert_eq!(
+            agent.exchange(&invalid_request.text).await.status(),
+            invalid_request.status,
+            "{}",
+            invalid_request.text
+        );
     }
     let chunk = "8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n";
     let too_many_chunks = chunk.repeat(3) + "0\r\n\r\n";
@@ -54,11 +60,12 @@
     let largest_body = "b".repeat(MAX_BODY_BYTES);
     assert_eq!(agent.exchange(&post_request("/pay", "2000m", &largest_body)).await.status(), 200);
     assert_eq!(server.next_request().await.body.len(), MAX_BODY_BYTES);
-    assert!(!server.has_further_request(), "an invalid request was forwarded");
+    assert!(!server.has_unread_request(), "an invalid request was forwarded");
 }
 
-/// Two peers may read an ambiguous length differently, so that one of them sees a request where the other
-/// sees a body. Such a request is not forwarded, and nothing after it is read as a request.
+/// The agent and a server may read an ambiguous length differently, so that one of them takes bytes for a
+/// request that the other takes for a body. The agent does not forward a request of ambiguous length, and
+/// reads no request after it.
 #[tokio::test]
 async fn a_request_of_ambiguous_length_is_rejected_and_its_connection_closed() {
     let mut server = TestServer::responding_with("x").await;
@@ -79,15 +86,15 @@
         assert_eq!(client.receive().await.status(), 400, "{ambiguous_headers}");
         client.wait_for_close().await;
     }
-    assert!(!server.has_further_request(), "something was forwarded");
+    assert!(!server.has_unread_request(), "a request was forwarded");
 
-    // A chunked body without a length is unambiguous, and its request is served.
+    // A chunked body without `Content-Length` is unambiguous, so its request is served.
     let chunked = chunked_post_request("/pay", "2000m", "2\r\nab\r\n0\r\n\r\n");
     assert_eq!(agent.exchange(&chunked).await.status(), 200);
     assert_eq!(server.next_request().await.body, b"ab");
 }
 
-/// Oversized heads and bodies are rejected before they have been received completely.
+/// The agent rejects requests with an oversized head or body before it has received them completely.
 #[tokio::test]
 async fn oversized_headers_and_bodies_are_rejected_early() {
     let server = TestServer::responding_with("x").await;
@@ -103,21 +110,21 @@
     client.wait_for_close().await;
 }
 
-/// A request with the id of an open request is rejected, and the open one is served.
+/// The agent rejects a request with the id of an open request, and serves the open request.
 #[tokio::test]
 async fn a_request_id_that_is_in_flight_is_rejected() {
     let gate = ResponseGate::default();
     let mut server = TestServer::holding_responses(&gate, "first").await;
     let agent = start_agent(server.address).await;
     let request = post_request("/pay", "20000m", "b");
-    let mut first = agent.send_request(&request).await;
+    let mut first_client = agent.send_request(&request).await;
     server.next_request().await;
 
-    let mut second = agent.send_request(&request).await;
-    assert_eq!(second.receive().await.status(), 409);
-    second.wait_for_close().await;
+    let mut second_client = agent.send_request(&request).await;
+    assert_eq!(second_client.receive().await.status(), 409);
+    second_client.wait_for_close().await;
 
     gate.release_one();
-    assert_eq!(first.receive().await.body, b"first");
-    assert!(!server.has_further_request(), "sent twice");
+    assert_eq!(first_client.receive().await.body, b"first");
+    assert!(!server.has_unread_request(), "the request was sent twice");
 }
--- a/crates/balancer-agent/tests/server_responses.rs
+++ b/crates/balancer-agent/tests/server_responses.rs
@@ -1,5 +1,5 @@
-//! Malformed, truncated, early and overlong server responses: which fail their attempts, and which only close
-//! their connections.
+//! Tests of malformed, truncated, early and oversized server responses: which of them fail the attempt, and
+//! which only close the connection.
 
 mod common;
 use common::messages::{ok_response, post_request, read_message, NOT_PROCESSED_503};
@@ -10,19 +10,19 @@
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 
-/// A truncated body must not be served as a complete one.
+/// The agent must not serve a truncated body as a complete one.
 #[tokio::test]
 async fn a_truncated_response_fails_its_attempt() {
     assert_attempt_fails(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf").await;
 }
 
-/// Without a length or chunks, a truncated response cannot be distinguished from a complete one.
+/// If a response has neither `Content-Length` nor chunks, the agent cannot tell whether it is truncated.
 #[tokio::test]
 async fn a_response_of_unknown_length_fails_its_attempt() {
     assert_attempt_fails(b"HTTP/1.1 200 OK\r\n\r\nperhaps a part").await;
 }
 
-/// Asserts that a request is answered as failed if its server sends these bytes and closes.
+/// Asserts that the agent fails a request if the server sends these bytes and closes the connection.
 async fn assert_attempt_fails(response_bytes: &'static [u8]) {
     let server = TestServer::start(|_| ServerReply::Close(response_bytes.to_vec())).await;
     let agent = start_agent(server.address).await;
@@ -37,7 +37,7 @@
     let malformed_load =
         b"HTTP/1.1 200 OK\r\nX-Server-Load: TEXT queue=NaN, qps\r\nContent-Length: 0\r\n\r\n";
     let malformed_status = b"HTTP/1.1 999 What\r\nX-Server-Load: \xff=,,\r\nContent-Length: 0\r\n\r\n";
-    let server = TestServer::replying_in_turn(vec![
+    let server = TestServer::replying_in_order(vec![
         ServerReply::Close(b"\0\xff\r\n\r\n".to_vec()),
         ServerReply::Close(malformed_status.to_vec()),
         ServerReply::Close(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n".to_vec()),
@@ -52,7 +52,8 @@
     }
 }
 
-/// Noise, endless heads, invalid lengths and endless bodies.
+/// Returns responses with a malformed or oversized head, an invalid length, an oversized body, and too many
+/// informational responses.
 fn malformed_responses() -> Vec<Vec<u8>> {
     let with_headers = |headers: &str| format!("HTTP/1.1 200 OK\r\n{headers}").into_bytes();
     let chunk = "400\r\n".to_owned() + &"x".repeat(1024) + "\r\n";
@@ -69,8 +70,8 @@
     ]
 }
 
-/// Each response fails its attempt soon, as one that may have been processed. The agent closes the
-/// connection, which the server keeps open.
+/// Each response fails its attempt soon, and the agent assumes that the request may have been processed. The
+/// agent closes the connection, which the server keeps open.
 #[tokio::test]
 async fn a_malformed_or_oversized_response_fails_its_attempt_and_closes_its_connection() {
     let responses = malformed_responses();
@@ -80,17 +81,17 @@
     let agent = start_agent(server.address).await;
 
     for connection in 0..response_count {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let response = agent.exchange(&post_request("/pay", "20000m", "b")).await;
         assert_eq!(response.status(), 502, "{connection}");
-        assert!(sent.elapsed() < Duration::from_secs(10), "{connection}: {:?}", sent.elapsed());
+        assert!(sent_at.elapsed() < Duration::from_secs(10), "{connection}: {:?}", sent_at.elapsed());
         assert_eq!(server.next_request().await.connection, connection);
     }
-    assert!(!server.has_further_request(), "sent twice");
+    assert!(!server.has_unread_request(), "a request was sent twice");
 }
 
-/// 1xx responses are skipped. A valid response that is followed by further bytes is served, and its
-/// connection is closed.
+/// The agent skips 1xx responses. If further bytes follow a valid response, the agent serves the response and
+/// closes the connection.
 #[tokio::test]
 async fn a_response_followed_by_further_bytes_is_served_and_its_connection_closed() {
     let informational = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
@@ -109,8 +110,9 @@
     }
 }
 
-/// Servers begin to process a request at its last byte, so an earlier response is not served. A server that
-/// rejects the request early must not get the rest of it, or it would be processed in addition to the retry.
+/// A server begins to process a request when it receives the last byte, so the agent does not serve a
+/// response that comes earlier. A server that rejects a request early must not get the rest of it. Otherwise
+/// the server would process the request in addition to the retry.
 #[tokio::test]
 async fn a_response_before_the_end_of_its_request_is_discarded_and_closes_its_connection() {
     assert_early_response_is_discarded(&ok_response("early")).await;
@@ -120,19 +122,23 @@
 async fn assert_early_response_is_discarded(early_response: &[u8]) {
     const BODY_BYTES: usize = 64 << 10;
     let listener = small_buffer_listener();
-    let agent = start_agent(listener.local_addr().expect("an address")).await;
+    let agent = start_agent(listener.local_addr().expect("the listener should have an address")).await;
     let mut client = agent.send_request(&post_request("/pay", "60000m", &"b".repeat(BODY_BYTES))).await;
 
-    let mut first = accept_connection(&listener).await;
-    within_time_limit("a part of the request", first.readable()).await.expect("request bytes");
-    first.write_all(early_response).await.expect("the response is written");
+    let mut first_connection = accept_connection(&listener).await;
+    within_time_limit("a part of the request", first_connection.readable())
+        .await
+        .expect("a part of the request should arrive");
+    first_connection.write_all(early_response).await.expect("the response should be written");
 
-    let mut second = accept_connection(&listener).await;
-    let rest = within_time_limit("the end of the first connection", read_message(&mut first, 0)).await;
+    let mut second_connection = accept_connection(&listener).await;
+    let rest =
+        within_time_limit("the close of the first connection", read_message(&mut first_connection, 0)).await;
     assert!(rest.is_none(), "the complete request was sent");
-    let retry =
-        within_time_limit("the retry", read_message(&mut second, 1)).await.expect("a complete request");
+    let retry = within_time_limit("the retry", read_message(&mut second_connection, 1))
+        .await
+        .expect("the retry should be complete");
     assert_eq!(retry.body.len(), BODY_BYTES);
-    second.write_all(&ok_response("right")).await.expect("the response is written");
+    second_connection.write_all(&ok_response("right")).await.expect("the response should be written");
     assert_eq!(client.receive().await.body, b"right");
 }
