--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -34,7 +34,10 @@
         .and_then(|value| value.strip_suffix('u'))
         .expect("the request should have a timeout in microseconds");
     let timeout: u64 = timeout.parse().expect("the timeout should be a number");
-    assert!(timeout > 0 && timeout < 2_000_000, "{timeout}: must be less than the client's timeout");
+    assert!(
+        timeout > 0 && timeout < 2_000_000,
+        "{timeout} us must be positive and less than the client's timeout"
+    );
 }
 
 /// A server may have processed an unsafe request if the connection breaks after the request's last byte. The
@@ -44,8 +47,7 @@
     assert_not_retried(ServerReply::Close(Vec::new())).await;
 }
 
-/// After a refused connect, the server has not processed the request, so requests of any class may be
-/// retried.
+/// A server that has refused the connect has not processed the request, so any class may be retried.
 #[tokio::test]
 async fn an_unsafe_request_is_retried_elsewhere_after_a_refused_connect() {
     let mut server = TestServer::responding_with("x").await;
@@ -144,7 +146,7 @@
     Draining,
     /// The entry says that the server has been removed.
     Removed,
-    /// The complete list has no entry of the server.
+    /// The complete list has no entry for the server.
     Absent,
     /// The entry has the start time of a new process.
     NewIncarnation,
@@ -161,7 +163,7 @@
         ServerChange::Moved,
     ];
 
-    /// Returns the server's entry after the change; `None` if the list has no entry of the server.
+    /// Returns the server's entry after the change; `None` if the list has no entry for the server.
     fn entry(self, address: SocketAddr, new_address: SocketAddr) -> Option<Value> {
         match self {
             ServerChange::Draining => Some(endpoint_entry(SERVER_NAME, address, Health::Draining)),
@@ -180,7 +182,7 @@
 /// The endpoint list changes the server's entry while a connect to the server is in progress. After the
 /// connect succeeds, the agent writes nothing to the connection and sends the request to another server.
 #[tokio::test]
-async fn a_request_is_rerouted_if_its_server_leaves_the_list_during_the_connect() {
+async fn a_request_is_rerouted_if_its_servers_entry_changes_during_the_connect() {
     let mut other_server = TestServer::responding_with("other").await;
     let new_address = RefusingAddress::reserve();
     for change in ServerChange::ALL {
@@ -201,8 +203,7 @@
 
         let message = within_time_limit("the close of the connection", read_message(&mut stream, 0)).await;
         assert!(message.is_none(), "{change:?}: {}", message.expect("a message was read").first_line());
-        // The agent may send the request to the new incarnation instead, and this test sends no response
-        // there.
+        // The agent may send the request to the new incarnation instead, where it gets no response.
         if change != ServerChange::NewIncarnation {
             assert_eq!(client.receive().await.body, b"other", "{change:?}");
             other_server.next_request().await;
--- a/crates/balancer-agent/tests/client_connections.rs
+++ b/crates/balancer-agent/tests/client_connections.rs
@@ -77,7 +77,7 @@
         let mut idle_client = agent.connect().await;
         let sent_at = Instant::now();
         assert_eq!(idle_client.exchange(&get_request("/read", "20000m")).await.status(), 200);
-        assert!(sent_at.elapsed() < Duration::from_secs(10), "{:?}", sent_at.elapsed());
+        assert!(sent_at.elapsed() < Duration::from_secs(10), "the response took {:?}", sent_at.elapsed());
         clients.push(idle_client);
         let silent_client = agent.connect().await;
         clients.push(silent_client);
@@ -105,10 +105,10 @@
 }
 
 /// Sends a request and excess bytes after it, and then disconnects at once with a reset or a close.
-async fn send_excess_bytes(agent: &Agent, excess: &[u8], is_reset: bool) {
+async fn send_excess_bytes(agent: &Agent, excess_bytes: &[u8], is_reset: bool) {
     let mut client = agent.send_request(&get_request("/read/flood", "20000m")).await;
     // Writing fails if the agent closes the connection before all bytes have been written.
-    let _ = client.stream.write_all(excess).await;
+    let _ = client.stream.write_all(excess_bytes).await;
     if is_reset {
         client.stream.set_zero_linger().expect("the socket option should be set");
     }
@@ -120,18 +120,18 @@
 async fn a_flood_of_excess_bytes_exhausts_neither_connections_nor_memory() {
     let mut server = TestServer::responding_with("x").await;
     let agent = start_agent_with_low_socket_limit(server.address).await;
-    let excess = vec![b'x'; 256 << 10];
+    let excess_bytes = vec![b'x'; 256 << 10];
 
     for number in 0..100 {
-        send_excess_bytes(&agent, &excess, number % 2 == 0).await;
+        send_excess_bytes(&agent, &excess_bytes, number % 2 == 0).await;
         if number % 10 == 0 {
             let sent_at = Instant::now();
             assert_eq!(agent.get("/read/good").await.status(), 200);
-            assert!(sent_at.elapsed() < Duration::from_secs(10), "{:?}", sent_at.elapsed());
+            assert!(sent_at.elapsed() < Duration::from_secs(10), "the response took {:?}", sent_at.elapsed());
         }
     }
 
-    assert!(agent.peak_memory_kb() < 32 << 10, "{} kB", agent.peak_memory_kb());
+    assert!(agent.peak_memory_kb() < 32 << 10, "the peak memory is {} kB", agent.peak_memory_kb());
     while let Ok(request) = server.requests.try_recv() {
         let line = request.first_line();
         assert!(matches!(line, "GET /read/flood HTTP/1.1" | "GET /read/good HTTP/1.1"), "{line}");
@@ -149,8 +149,7 @@
     command
 }
 
-/// The agent keeps running while no file descriptor is free, and accepts connections again once some are
-/// free.
+/// The agent keeps running while no file descriptor is free, and accepts connections again after that.
 #[tokio::test]
 async fn the_agent_recovers_from_running_out_of_file_descriptors() {
     let server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/client_disconnects.rs
+++ b/crates/balancer-agent/tests/client_disconnects.rs
@@ -24,6 +24,7 @@
     is_reset: bool,
 }
 
+/// All ways to disconnect that the tests cover.
 const DISCONNECTS: [Disconnect; 6] = [
     Disconnect { description: "a close", excess_bytes: 0, is_reset: false },
     Disconnect { description: "a reset", excess_bytes: 0, is_reset: true },
@@ -89,6 +90,7 @@
     }
 }
 
+/// Asserts that the agent does not retry this request after its client has disconnected.
 async fn assert_not_retried(request: String, disconnect: Disconnect) {
     // The server closes other connections after one response, so only the first connection can be reused.
     let other_reply = ServerReply::Close(ok_response("x"));
@@ -101,8 +103,7 @@
     disconnect.apply(&agent, client).await;
     gate.release_one();
 
-    // The agent reuses the first connection once it has received the rejection. No retry may precede the
-    // reuse.
+    // The agent reuses the first connection once it has received the rejection. No retry may come before.
     within_time_limit("the reuse of the connection", async {
         loop {
             assert_eq!(agent.get("/read").await.status(), 200);
--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -19,7 +19,7 @@
     Pay,
 }
 
-/// A valid configuration of the agent. Each `with_` method changes one setting.
+/// A valid configuration of the agent, which the `with_` methods change.
 #[derive(Clone)]
 pub struct AgentConfig(Value);
 
--- a/crates/balancer-agent/tests/common/discovery.rs
+++ b/crates/balancer-agent/tests/common/discovery.rs
@@ -8,8 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// The start time, in Unix milliseconds, of a new process of a server. [`endpoint_entry`] has the start time
-/// 0.
+/// The start time, in Unix milliseconds, of a new process of a server. Entries from [`endpoint_entry`] have
+/// an earlier start time.
 pub const NEW_INCARNATION_START_MS: u64 = 1_700_000_000_000;
 
 const CHANNEL_CAPACITY: usize = 1024;
@@ -55,8 +55,8 @@
 /// How the discovery service handles a call.
 #[derive(Clone)]
 pub enum DiscoveryBehavior {
-    /// Responds with this list. A watch gets its response only once the list is newer than the version in
-    /// the watch.
+    /// Responds with this list. A watch gets the response only once the list is newer than the version that
+    /// the watch names.
     Serve(Value),
     /// Responds with an error.
     Fail,
@@ -65,8 +65,8 @@
 }
 
 impl DiscoveryBehavior {
-    /// Whether a call can be handled now. `known_version` is the version in the call; `None` if the call is
-    /// not a watch.
+    /// Whether a call can be handled now. `known_version` is the version that a watch names, or `None` if the
+    /// call is not a watch.
     fn can_handle(&self, known_version: Option<u64>) -> bool {
         match (self, known_version) {
             (DiscoveryBehavior::Serve(list), Some(known_version)) => {
@@ -180,7 +180,7 @@
     current_behavior.expect("the sender of the behavior should be open").response()
 }
 
-/// Returns the version in the target of a watch; `None` if the call is not a watch.
+/// Returns the version that a watch names in its target; `None` if the call is not a watch.
 fn known_version(target: &str) -> Option<u64> {
     let (_, value) = target.split_once("after=")?;
     value.split('&').next()?.parse().ok()
--- a/crates/balancer-agent/tests/common/kernel.rs
+++ b/crates/balancer-agent/tests/common/kernel.rs
@@ -6,8 +6,8 @@
 
 /// The state code of a connect in progress in `/proc/net/tcp`.
 const SYN_SENT: &str = "02";
-/// The state code, in `/proc/net/tcp`, of a connection that this side has closed and whose peer has not yet
-/// acknowledged the close.
+/// The state code, in `/proc/net/tcp`, of a connection whose local end has been closed and whose peer has not
+/// yet acknowledged the close.
 const FIN_WAIT_1: &str = "04";
 
 /// Waits until a connect to this address is in progress.
--- a/crates/balancer-agent/tests/common/messages.rs
+++ b/crates/balancer-agent/tests/common/messages.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads one message; `None` if the connection is closed before its end.
+/// Reads one message; `None` if the connection is closed before the end of the message.
 pub async fn read_message(stream: &mut TcpStream, connection: usize) -> Option<Message> {
     let ReceivedHead { head, rest: mut body } = read_head(stream).await?;
     let mut message = Message { connection, head, body: Vec::new() };
@@ -74,7 +74,7 @@
     rest: Vec<u8>,
 }
 
-/// Reads up to the end of a head; `None` if the connection is closed before it.
+/// Reads up to the end of a head; `None` if the connection is closed before the end of the head.
 async fn read_head(stream: &mut TcpStream) -> Option<ReceivedHead> {
     let mut bytes = Vec::new();
     let end = loop {
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -88,7 +88,7 @@
         TestServer { address, requests, accepted, closed }
     }
 
-    /// Starts a server that replies to each request with a 200 response with this body.
+    /// Starts a server that sends a 200 response with this body to each request.
     pub async fn responding_with(body: &str) -> Self {
         let response = ok_response(body);
         Self::start(move |_| ServerReply::KeepOpen(response.clone())).await
@@ -104,8 +104,7 @@
         .await
     }
 
-    /// Starts a server that replies to each request with a 200 response with this body, which it sends once
-    /// the gate releases it.
+    /// Starts a server that sends a 200 response with this body to each request once the gate releases it.
     pub async fn holding_responses(gate: &ResponseGate, body: &str) -> Self {
         let held_reply = ServerReply::WhenReleased(gate.clone(), ok_response(body));
         Self::start(move |_| held_reply.clone()).await
@@ -137,7 +136,7 @@
             .expect("the test server should be running")
     }
 
-    /// Whether a request has been received and not read by the test. Removes that request from the queue.
+    /// Whether a request has been received that the test has not read. The request is removed from the queue.
     pub fn has_unread_request(&mut self) -> bool {
         self.requests.try_recv().is_ok()
     }
@@ -155,7 +154,7 @@
     }
 }
 
-/// Serves the connections of a server. Each connection has a clone.
+/// Handles the connections of a server. Each connection is served by a clone of the handler.
 #[derive(Clone)]
 struct ConnectionHandler {
     script: Arc<dyn Fn(&Message) -> ServerReply + Send + Sync>,
--- a/crates/balancer-agent/tests/connection_close.rs
+++ b/crates/balancer-agent/tests/connection_close.rs
@@ -16,6 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::sleep;
 
+/// The size of a response body that does not fit into the buffers of a slow client's connection.
 const LARGE_BODY_BYTES: usize = 64 << 10;
 
 fn large_body() -> String {
@@ -34,9 +35,8 @@
     client
 }
 
-/// Clients abandon connections faster than the agent closes idle ones. Once slot usage is high, each response
-/// has a `Connection: close` header, and the agent then closes the connection. Before that, no response has
-/// it.
+/// Clients abandon connections faster than the agent closes idle ones. Responses have a `Connection: close`
+/// header once slot usage is high, and not before. The agent then closes the connection.
 #[tokio::test]
 async fn responses_close_their_connections_at_high_slot_usage() {
     let server = TestServer::responding_with("x").await;
@@ -110,7 +110,7 @@
 /// closed the socket with unread bytes, the kernel would reset the connection, and the client would lose the
 /// rest of the response.
 #[tokio::test]
-async fn a_response_survives_request_bytes_that_arrive_during_the_close() {
+async fn a_response_is_not_truncated_by_request_bytes_that_arrive_during_the_close() {
     let server = TestServer::responding_with(&large_body()).await;
     let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
     let mut client = connect_slow_client(&agent).await;
@@ -128,6 +128,10 @@
     within_time_limit("the rest of the response", client.stream.read_to_end(&mut response))
         .await
         .expect("the response should not be truncated");
-    assert!(response.ends_with(large_body().as_bytes()), "{} bytes were received", response.len());
+    assert!(
+        response.ends_with(large_body().as_bytes()),
+        "the response is truncated: {} bytes were received",
+        response.len()
+    );
     assert!(agent.wait_for_exit().await.success());
 }
--- a/crates/balancer-agent/tests/connection_pool.rs
+++ b/crates/balancer-agent/tests/connection_pool.rs
@@ -1,5 +1,4 @@
-//! Tests of the pool of server connections: reuse, keep-alive limits, and connections that must not be
-//! reused.
+//! Tests of the server connection pool: reuse, keep-alive limits, and connections that must not be reused.
 
 mod common;
 use common::messages::{get_request, ok_response, post_request};
--- a/crates/balancer-agent/tests/discovery_watch.rs
+++ b/crates/balancer-agent/tests/discovery_watch.rs
@@ -63,8 +63,7 @@
     assert!(!old_server.has_unread_request(), "a request was sent to a draining server");
 }
 
-/// A server with a new address or a new start time is a new process, so the agent does not reuse old
-/// connections.
+/// A server with a new address or start time is a new process, so the agent does not reuse old connections.
 #[tokio::test]
 async fn a_new_address_or_incarnation_means_new_connections() {
     let mut first_server = TestServer::responding_with("1").await;
@@ -87,8 +86,7 @@
     assert_eq!(second_server.next_request().await.connection, 1);
 }
 
-/// After an address has been assigned to another server, the agent does not reuse connections to the old
-/// server.
+/// Connections to a server are not reused after its address has been assigned to another server.
 #[tokio::test]
 async fn an_address_reused_by_another_server_means_new_connections() {
     let server_name = |number: usize| format!("s{number}");
@@ -127,10 +125,11 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// A change of the list counts as notified at once if no watch is open. The delay before the agent retries
-/// the watch therefore stays short even after many failures.
+/// While no watch is open, a change of the list counts as notified as soon as discovery learns of it. The
+/// delay before the agent retries the watch is therefore shorter than the time to stop sending to a draining
+/// server, even after many failures.
 #[tokio::test]
-async fn the_watch_retry_delay_stays_within_the_drain_notice() {
+async fn the_watch_retry_delay_stays_within_the_time_to_stop_sending() {
     let server = TestServer::responding_with("x").await;
     let mut discovery = TestDiscovery::start(DiscoveryBehavior::Fail).await;
     let _agent = start_agent_with_discovery(&discovery, server.address, |config| {
@@ -144,7 +143,7 @@
     }
 
     // Each delay is at most 125 ms. Delays that double without a limit would add up to 8 s or more.
-    assert!(started_at.elapsed() < Duration::from_secs(6), "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(6), "the retries took {:?}", started_at.elapsed());
 }
 
 /// Returns endpoint lists without valid entries, with nesting that is too deep, and over the size limit.
@@ -181,7 +180,7 @@
         }
         assert_eq!(agent.get("/read").await.body, b"old");
     }
-    assert!(agent.peak_memory_kb() < 32 << 10, "{} kB", agent.peak_memory_kb());
+    assert!(agent.peak_memory_kb() < 32 << 10, "the peak memory is {} kB", agent.peak_memory_kb());
 
     discovery.publish(8, &[up_entry("new", new_server.address)]);
     within_time_limit("a response under the valid list", async {
--- a/crates/balancer-agent/tests/graceful_shutdown.rs
+++ b/crates/balancer-agent/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Tests of the graceful shutdown. The agent sends the responses to requests that are open at SIGTERM, and to
-//! requests that arrive after it, before it exits.
+//! Tests of the graceful shutdown. Before the agent exits, it responds to the requests that are open at
+//! SIGTERM and to those that arrive later.
 
 mod common;
 use common::agent::Agent;
@@ -80,6 +80,7 @@
         }
     }
 
+    /// Whether the client may open a new connection: always before SIGTERM, and for 0.3 s after it.
     fn can_connect(&self) -> bool {
         self.sigterm_time.borrow().is_none_or(|time| time.elapsed() < Duration::from_millis(300))
     }
@@ -103,12 +104,12 @@
 /// A shutdown under load loses no request.
 #[tokio::test]
 async fn no_request_is_lost_under_load() {
-    const CLIENTS: usize = 16;
+    const CLIENT_COUNT: usize = 16;
     let server = TestServer::responding_with("x").await;
     let mut agent = start_agent(server.address).await;
     let sigterm_time = watch::Sender::new(None);
     let served_requests = Arc::new(AtomicUsize::new(0));
-    let clients = [(); CLIENTS].map(|()| {
+    let clients = [(); CLIENT_COUNT].map(|()| {
         let client = LoadClient {
             agent_address: agent.address,
             kept_connection: None,
@@ -118,7 +119,7 @@
         tokio::spawn(client.run())
     });
     within_time_limit("the first served requests", async {
-        while served_requests.load(Ordering::SeqCst) < 10 * CLIENTS {
+        while served_requests.load(Ordering::SeqCst) < 10 * CLIENT_COUNT {
             tokio::task::yield_now().await;
         }
     })
@@ -139,8 +140,7 @@
 }
 
 /// All slots are in use by connections with open requests. Connections that are in the accept queue when the
-/// agent's time for new connections ends are still accepted once slots are free, and their requests get
-/// responses.
+/// agent's time for new connections ends are accepted once slots are free, and get responses.
 #[tokio::test]
 async fn connections_in_the_accept_queue_are_accepted_and_get_responses() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
@@ -157,8 +157,7 @@
         clients.push(agent.send_request(&post_request("/pay", "60000m", "b")).await);
         server.next_request().await;
     }
-    // 26 requests are queued because the server is at its estimated capacity. 4 connections are not accepted
-    // yet.
+    // 26 requests are queued, as the server is at its estimated capacity. 4 connections are not accepted yet.
     for _ in 0..26 + 4 {
         clients.push(agent.send_request(&get_request("/read", "60000m")).await);
     }
@@ -170,14 +169,14 @@
 
     for client in &mut clients {
         let response = client.receive().await;
-        assert!(matches!(response.status(), 200 | 429), "{}", response.status());
+        assert!(matches!(response.status(), 200 | 429), "unexpected status {}", response.status());
         assert_eq!(response.header("connection"), Some("close"));
     }
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// The deadlines of requests may lie after the platform's SIGKILL. The agent fails requests that are still
-/// open with a 504 before SIGKILL.
+/// Requests may have deadlines after the SIGKILL that the platform sends. Before SIGKILL, the agent fails all
+/// requests that are still open, with a 504.
 #[tokio::test]
 async fn requests_that_outlast_the_shutdown_period_get_a_504() {
     let mut server = TestServer::start(|_| ServerReply::Silent).await;
@@ -195,7 +194,7 @@
         client.wait_for_close().await;
     }
     // The responses take 3.65 s, and longer on a busy machine. The deadlines are 60 s.
-    assert!(sigterm_at.elapsed() < Duration::from_secs(15), "{:?}", sigterm_at.elapsed());
+    assert!(sigterm_at.elapsed() < Duration::from_secs(15), "the responses took {:?}", sigterm_at.elapsed());
     assert!(agent.wait_for_exit().await.success());
 }
 
@@ -235,7 +234,11 @@
         agent.send_sigterm().await;
         let response = client.exchange(rest).await;
         let status_and_connection = (response.status(), response.header("connection"));
-        assert_eq!(status_and_connection, (200, Some("close")), "{sent_bytes}");
+        assert_eq!(
+            status_and_connection,
+            (200, Some("close")),
+            "{sent_bytes} bytes were sent before SIGTERM"
+        );
         client.wait_for_close().await;
     }
     assert!(agent.wait_for_exit().await.success());
--- a/crates/balancer-agent/tests/reconfiguration.rs
+++ b/crates/balancer-agent/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Tests of SIGHUP, on which the agent reloads its configuration, also during the graceful shutdown.
+//! Tests of the configuration reload on SIGHUP, in normal operation and during graceful shutdown.
 
 mod common;
 use common::agent::{agent_command, Agent};
@@ -18,9 +18,9 @@
     Agent::spawn(command, config_file).await
 }
 
-/// After SIGHUP, the agent requests the complete list from the new discovery address in the file, even if the
-/// version that it knows is higher. Open requests are not affected. `PROXY_DISCOVERY` applies only to the
-/// start.
+/// After SIGHUP, the agent requests the complete list from the new discovery address in the file, and applies
+/// the list whatever its version. Open requests are not affected. `PROXY_DISCOVERY` applies to the start
+/// only.
 #[tokio::test]
 async fn a_reload_switches_to_the_new_discovery_address() {
     let other_reply = ServerReply::KeepOpen(ok_response("old"));
--- a/crates/balancer-agent/tests/request_validation.rs
+++ b/crates/balancer-agent/tests/request_validation.rs
@@ -63,9 +63,9 @@
     assert!(!server.has_unread_request(), "an invalid request was forwarded");
 }
 
-/// The agent and a server may read an ambiguous length differently, so that one of them takes bytes for a
-/// request that the other takes for a body. The agent does not forward a request of ambiguous length, and
-/// reads no request after it.
+/// Two peers may interpret an ambiguous length differently, so that one of them reads a request where the
+/// other reads a body. The agent does not forward a request of ambiguous length, and reads no request from
+/// the bytes after it.
 #[tokio::test]
 async fn a_request_of_ambiguous_length_is_rejected_and_its_connection_closed() {
     let mut server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/server_responses.rs
+++ b/crates/balancer-agent/tests/server_responses.rs
@@ -16,7 +16,7 @@
     assert_attempt_fails(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf").await;
 }
 
-/// If a response has neither `Content-Length` nor chunks, the agent cannot tell whether it is truncated.
+/// If a response has neither `Content-Length` nor chunks, the agent cannot determine whether it is truncated.
 #[tokio::test]
 async fn a_response_of_unknown_length_fails_its_attempt() {
     assert_attempt_fails(b"HTTP/1.1 200 OK\r\n\r\nperhaps a part").await;
@@ -83,8 +83,12 @@
     for connection in 0..response_count {
         let sent_at = Instant::now();
         let response = agent.exchange(&post_request("/pay", "20000m", "b")).await;
-        assert_eq!(response.status(), 502, "{connection}");
-        assert!(sent_at.elapsed() < Duration::from_secs(10), "{connection}: {:?}", sent_at.elapsed());
+        assert_eq!(response.status(), 502, "connection {connection}");
+        assert!(
+            sent_at.elapsed() < Duration::from_secs(10),
+            "connection {connection}: the response took {:?}",
+            sent_at.elapsed()
+        );
         assert_eq!(server.next_request().await.connection, connection);
     }
     assert!(!server.has_unread_request(), "a request was sent twice");
@@ -119,6 +123,7 @@
     assert_early_response_is_discarded(NOT_PROCESSED_503).await;
 }
 
+/// Asserts that the agent discards a response that a server sends before the end of the request.
 async fn assert_early_response_is_discarded(early_response: &[u8]) {
     const BODY_BYTES: usize = 64 << 10;
     let listener = small_buffer_listener();
--- a/crates/balancer-agent/tests/timeouts.rs
+++ b/crates/balancer-agent/tests/timeouts.rs
@@ -8,9 +8,8 @@
 use common::within_time_limit;
 use std::time::{Duration, Instant};
 
-/// A server behind a network partition sends no response. The client gets a response by its own timeout,
-/// which is much shorter than the deadline of the class. The agent does not reuse the connection to the
-/// server.
+/// A server behind a network partition sends no response. The agent fails the request at the deadline that
+/// the client's `X-Timeout` sets, long before the deadline of the class, and does not reuse the connection.
 #[tokio::test]
 async fn a_request_without_a_response_fails_at_the_clients_deadline() {
     let mut server = TestServer::start(|request| match request.connection {
@@ -26,7 +25,7 @@
     let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
 
     assert_eq!(response.status(), 504);
-    assert!(sent_at.elapsed() < Duration::from_secs(15), "{:?}", sent_at.elapsed());
+    assert!(sent_at.elapsed() < Duration::from_secs(15), "the response took {:?}", sent_at.elapsed());
     assert_eq!(server.next_request().await.connection, 0);
     assert_eq!(server.next_closed_connection().await, 0);
     // The server is suspected now, but the agent still uses it because there is no other server.
@@ -51,7 +50,11 @@
         let response = within_time_limit("a response or a close", read_message(&mut client.stream, 0)).await;
         assert!(response.is_none_or(|response| response.status() == 408), "{incomplete_request}");
         assert!(connected_at.elapsed() > Duration::from_secs(1), "the timeout is too short for slow clients");
-        assert!(connected_at.elapsed() < Duration::from_millis(2900), "{:?}", connected_at.elapsed());
+        assert!(
+            connected_at.elapsed() < Duration::from_millis(2900),
+            "the response or the close took {:?}",
+            connected_at.elapsed()
+        );
     }
     assert!(!server.has_unread_request(), "an incomplete request was forwarded");
 }
