--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Tests of the concurrency limit of a server: it follows the latency and the rejections of the server.
+//! Tests of the concurrency limit of a server, which follows the latency and the rejections of the server.
 
 mod common;
 
@@ -6,9 +6,9 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// Submits requests until one is queued and answers all after `elapsed_ms`; returns how many were sent
-/// immediately.
-fn fill_and_answer(harness: &mut Harness, elapsed_ms: f64) -> usize {
+/// Submits requests until one is queued, and ends all of them with success after `elapsed_ms`. Returns how
+/// many were sent immediately.
+fn fill_and_succeed(harness: &mut Harness, elapsed_ms: f64) -> usize {
     let FilledServers { sent, unsent: queued } = harness.fill_servers();
     let sent_count = sent.len();
     harness.advance_ms(elapsed_ms);
@@ -24,24 +24,28 @@
 }
 
 #[test]
-fn late_answers_lower_concurrency_and_quick_answers_restore_it() {
+fn late_responses_lower_concurrency_and_quick_responses_restore_it() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(2));
 
-    let before = fill_and_answer(&mut harness, 20.0);
+    let before = fill_and_succeed(&mut harness, 20.0);
     for _ in 0..10 {
-        fill_and_answer(&mut harness, 210.0);
+        fill_and_succeed(&mut harness, 210.0);
     }
-    let after_late_answers = fill_and_answer(&mut harness, 210.0);
+    let after_late_responses = fill_and_succeed(&mut harness, 210.0);
     for _ in 0..60 {
-        fill_and_answer(&mut harness, 15.0);
+        fill_and_succeed(&mut harness, 15.0);
     }
-    let after_quick_answers = fill_and_answer(&mut harness, 15.0);
+    let after_quick_responses = fill_and_succeed(&mut harness, 15.0);
 
-    assert!(after_late_answers < before, "{after_late_answers} after late answers, {before} before");
-    assert!(after_quick_answers > after_late_answers + 2, "limits must grow again, from one and a half too");
+    assert!(after_late_responses < before, "{after_late_responses} after late responses, {before} before");
+    assert!(
+        after_quick_responses > after_late_responses + 2,
+        "limits must grow again, even from one and a half"
+    );
 }
 
-/// Limits that grew beyond the requests in flight once let a burst fill every server and overload the fleet.
+/// If limits grew beyond the number of requests in flight, a burst could fill every server and overload the
+/// fleet.
 #[test]
 fn concurrency_limit_not_in_full_use_does_not_grow() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(1));
@@ -55,18 +59,20 @@
 
     let sent_count = harness.submit_burst(20).len();
 
-    assert!((2..=3).contains(&sent_count), "{sent_count} sent at once, two were in use");
+    assert!((2..=3).contains(&sent_count), "{sent_count} sent at once, after two at a time");
 }
 
-/// A fleet that rejects every attempt.
+/// A fleet of full servers, which reject every attempt.
 struct FullServers {
     harness: Harness,
+    /// How many attempts were sent.
     send_count: u32,
+    /// The number of the next attempt of each request.
     next_attempts: BTreeMap<RequestId, AttemptNumber>,
 }
 
 impl FullServers {
-    /// Rejects the attempts that these actions send, and those that the rejections lead to.
+    /// Rejects the attempts that these actions send, and the retries that follow the rejections.
     fn reject_all(&mut self, mut pending_actions: Vec<Action>) {
         while let Some(action) = pending_actions.pop() {
             let Action::Send { request, .. } = action else { continue };
@@ -79,7 +85,7 @@
     }
 }
 
-/// A request rejected by a full server must not be retried at every other server immediately.
+/// A request that a full server has rejected must not be retried at every other server immediately.
 #[test]
 fn full_servers_are_not_retried_immediately() {
     let harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(3));
@@ -98,7 +104,7 @@
     fleet.harness.assert_no_violations();
 }
 
-/// The number of 300 requests that one of `balancer_count` balancers sends to a server that answers late.
+/// Returns how many of 300 requests one of `balancer_count` balancers sends to a server that responds late.
 fn sends_to_late_server(balancer_count: u32) -> u32 {
     let settings = Settings { balancer_count, ..six_attempt_settings() };
     let mut harness = Harness::with_endpoints(settings, 1, fleet(1));
@@ -114,11 +120,14 @@
     send_count
 }
 
-/// With a limit of one request each, many balancers would still overload a server.
+/// If each balancer had a limit of at least one request, many balancers would overload a server.
 #[test]
 fn concurrency_limits_fall_below_one_with_many_balancers() {
     let alone = sends_to_late_server(1);
     let among_twenty = sends_to_late_server(20);
 
-    assert!(among_twenty * 3 < alone, "{among_twenty} sends beside twenty others, {alone} alone");
+    assert!(
+        among_twenty * 3 < alone,
+        "{among_twenty} sends by one of twenty balancers, {alone} by a single balancer"
+    );
 }
--- a/crates/balancer-core/tests/draining.rs
+++ b/crates/balancer-core/tests/draining.rs
@@ -6,8 +6,8 @@
 use balancer_core::*;
 use common::*;
 
-/// Applies an update after which only the second of two servers is serving; asserts that it gets all
-/// requests.
+/// Asserts that the second of two servers gets all requests after an update that leaves only this server
+/// serving. `update` creates the update from the endpoints of both servers.
 fn assert_first_server_gets_no_requests_after(update: impl Fn(Vec<Endpoint>) -> EndpointUpdate) {
     let mut harness = Harness::with_endpoints(idempotent_settings(), 2, fleet(2));
 
@@ -48,7 +48,7 @@
 fn failed_watch_is_reopened_and_the_endpoint_list_is_kept() {
     let settings = Settings { discovery_mode: DiscoveryMode::OnRequest, ..idempotent_settings() };
     let mut harness = Harness::new(settings, 2);
-    assert!(harness.actions.contains(&Action::WatchEndpoints), "watched from the start");
+    assert!(harness.actions.contains(&Action::WatchEndpoints), "the watch is opened at the start");
     harness.set_endpoints(fleet(2));
 
     let mut watch_count = 0;
@@ -61,6 +61,9 @@
         watch_count += actions.iter().filter(|action| **action == Action::WatchEndpoints).count();
     }
 
-    assert_eq!(watch_count, 5, "one more watch after each failure, within half of the longest poll interval");
+    assert_eq!(
+        watch_count, 5,
+        "one watch is opened after each failure, within half of the longest poll interval"
+    );
     harness.assert_no_violations();
 }
--- a/crates/balancer-core/tests/final_responses.rs
+++ b/crates/balancer-core/tests/final_responses.rs
@@ -1,4 +1,4 @@
-//! Tests that every request gets one final answer in time and is not sent after it.
+//! Tests that every request gets one final response in time and is not sent to a server after it.
 
 mod common;
 
@@ -8,7 +8,7 @@
 const IDEMPOTENT: ClassId = ClassId(0);
 const AT_MOST_ONCE: ClassId = ClassId(1);
 
-/// Settings with the classes [`IDEMPOTENT`] and [`AT_MOST_ONCE`].
+/// Returns settings with the classes [`IDEMPOTENT`] and [`AT_MOST_ONCE`].
 fn settings() -> Settings {
     Settings { classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)], ..Settings::default() }
 }
@@ -19,7 +19,7 @@
 
     let request = harness.submit_request_of(IDEMPOTENT);
     assert_eq!(request.server, None);
-    assert!(!is_rejected(&harness.actions, request.id), "it waits for a server first");
+    assert!(!is_rejected(&harness.actions, request.id), "the request is queued first");
     let actions = harness.advance_ms(800.0);
 
     assert!(is_rejected(&actions, request.id));
@@ -38,7 +38,7 @@
     harness.assert_no_violations();
 }
 
-/// Seen on a simulated day: a client's last retry can arrive when none of its time is left.
+/// A client's last retry can arrive when no time is left until its deadline.
 #[test]
 fn request_without_time_left_is_rejected_immediately() {
     for server_count in [0, 3] {
@@ -123,8 +123,8 @@
     }
 }
 
-/// Seen on a simulated day: a request queued at the moment of a tick delayed the tick, so that a steady
-/// stream of requests prevented it, and queued requests passed their deadline without an answer.
+/// A request that is queued must not postpone the next tick. Otherwise a steady stream of requests would
+/// prevent every tick, and queued requests would pass their deadline without a final response.
 #[test]
 fn requests_arriving_with_each_tick_do_not_starve_the_tick() {
     let mut harness = Harness::new(settings(), 1);
--- a/crates/balancer-core/tests/invalid_input.rs
+++ b/crates/balancer-core/tests/invalid_input.rs
@@ -1,18 +1,21 @@
-//! Tests that despite invalid load reports or a jump of the clock, all servers are used and all requests are
-//! answered.
+//! Tests that all servers stay in use, and that every request gets a final response, despite invalid load
+//! reports or a jump of the clock.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
+/// How far the clock jumps forward.
 const CLOCK_JUMP: Span = Span::from_secs(3600);
 
+/// Returns settings with which servers report their number of requests in flight.
 fn settings() -> Settings {
     Settings { load_report_fields: vec![LoadReportField::InFlight], ..idempotent_settings() }
 }
 
-/// The number of requests sent to each of four servers, when server 0 sends these load reports.
+/// Returns the number of requests that are sent to each of four servers if all load reports of server 0 have
+/// these values.
 fn requests_by_server(report_of_server_0: &[f64]) -> [u32; 4] {
     let mut harness = Harness::with_endpoints(settings(), 3, fleet(4));
     let mut requests_by_server = [0; 4];
@@ -38,11 +41,11 @@
     }
 
     let requests = requests_by_server(&[f64::NAN]);
-    assert!(requests[0] > 0, "a report that is no number is no report: {requests:?}");
+    assert!(requests[0] > 0, "a report that is not a number is ignored: {requests:?}");
 }
 
 #[test]
-fn clock_jump_keeps_the_fleet_in_use_and_every_request_answered() {
+fn clock_jump_keeps_the_fleet_in_use_and_loses_no_request() {
     let mut harness = Harness::with_endpoints(settings(), 3, fleet(4));
     let in_flight: Vec<SubmittedRequest> = (0..6).map(|_| harness.submit_request()).collect();
 
--- a/crates/balancer-core/tests/load_polling.rs
+++ b/crates/balancer-core/tests/load_polling.rs
@@ -1,13 +1,15 @@
-//! Tests of load polling: in a sparse view, cheap health checks find out the loads of a request's candidates.
+//! Tests of load polling: in a sparse view, the candidates for a request are asked for their load by cheap
+//! health checks.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// The server that is warming up, one of ten.
-const WARMING_UP: ServerId = ServerId(9);
+/// The only one of ten servers that is warming up.
+const WARMING_UP_SERVER: ServerId = ServerId(9);
 
+/// Returns settings for a sparse view in which candidates are polled for their load.
 fn polling_settings() -> Settings {
     Settings {
         allows_health_checks: true,
@@ -17,7 +19,7 @@
     }
 }
 
-/// The servers that the last actions send a health check to.
+/// Returns the servers to which the last actions send a health check.
 fn polled_servers(harness: &Harness) -> Vec<ServerId> {
     let polled = |action: &Action| match action {
         Action::CheckHealth { server } => Some(*server),
@@ -26,7 +28,8 @@
     harness.actions.iter().filter_map(polled).collect()
 }
 
-/// Ends the poll of a server with its load; returns the server that a request is sent to because of it.
+/// Ends the health check of a server, which reports `in_flight` requests. Returns the server that a request
+/// is sent to because of this report.
 fn report_load(harness: &mut Harness, server: ServerId, in_flight: f64) -> Option<ServerId> {
     let actions = harness.handle(Event::HealthChecked {
         server,
@@ -40,13 +43,13 @@
     })
 }
 
-/// Without load polls, a third of the answers were late by chance: a balancer had no requests of its own in
-/// flight to compare servers by.
+/// Without load polls, a third of the responses would be late by chance, because a balancer has no requests of
+/// its own in flight by which it could compare servers.
 #[test]
 fn cheap_load_polls_find_the_least_loaded_candidate() {
     let mut harness = Harness::with_endpoints(polling_settings(), 10, fleet(20));
     let request = harness.submit_request();
-    assert_eq!(request.server, None, "it waits for its candidates");
+    assert_eq!(request.server, None, "the request waits for its candidates' load reports");
     let candidates = polled_servers(&harness);
     assert!(candidates.len() >= 2, "{candidates:?}");
 
@@ -54,7 +57,11 @@
     for (position, &server) in candidates.iter().enumerate() {
         let in_flight = if position == 1 { 0.0 } else { 4.0 };
         target = report_load(&mut harness, server, in_flight);
-        assert_eq!(target.is_some(), position + 1 == candidates.len(), "sent with the last report");
+        assert_eq!(
+            target.is_some(),
+            position + 1 == candidates.len(),
+            "the request is sent after the last report"
+        );
     }
 
     assert_eq!(target, Some(candidates[1]));
@@ -73,7 +80,7 @@
 
     let request = harness.submit_request();
     let actions = harness.advance_ms(0.06 * LATENCY_OBJECTIVE_MS);
-    assert!(find_target(&actions, request.id).is_some(), "with no report at all it is sent all the same");
+    assert!(find_target(&actions, request.id).is_some(), "the request is sent even without any report");
 }
 
 #[test]
@@ -94,18 +101,19 @@
     }
 }
 
-/// Ends all polls, of which only the one of the server that is warming up reports no load; returns the server
-/// that a request is sent to because of them.
+/// Ends the health checks of all polled servers: the server that is warming up reports no requests in flight,
+/// the others report two. Returns the server that a request is sent to because of the reports.
 fn report_lowest_load_at_warming_up_server(harness: &mut Harness) -> Option<ServerId> {
     let mut target = None;
     for server in polled_servers(harness) {
-        let in_flight = if server == WARMING_UP { 0.0 } else { 2.0 };
+        let in_flight = if server == WARMING_UP_SERVER { 0.0 } else { 2.0 };
         target = target.or(report_load(harness, server, in_flight));
     }
     target
 }
 
-/// An idle server that is warming up would have the lowest load in every poll, at all balancers at once.
+/// An idle server that is warming up has the lowest load in the polls of all balancers. If only the load
+/// counted, all balancers would send their requests to this server at once.
 #[test]
 fn idle_warming_up_server_does_not_attract_requests() {
     for settings in [sparse_settings(), polling_settings()] {
@@ -120,12 +128,15 @@
             let request = harness.submit_request();
             let polled_target = report_lowest_load_at_warming_up_server(&mut harness);
             let target = request.server.or(polled_target);
-            to_warming_up += u32::from(target.expect("the request was sent") == WARMING_UP);
+            to_warming_up += u32::from(target.expect("the request was sent") == WARMING_UP_SERVER);
             total += 1;
             harness.succeed(request.id, 20.0);
             harness.advance_ms(2.0);
         }
 
-        assert!(to_warming_up <= total / 20, "{to_warming_up} of {total} to one of ten, warming up");
+        assert!(
+            to_warming_up <= total / 20,
+            "{to_warming_up} of {total} sent to the one of ten that is warming up"
+        );
     }
 }
