--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -89,19 +89,19 @@
 #[test]
 fn full_servers_are_not_retried_immediately() {
     let harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(3));
-    let mut fleet = FullServers { harness, send_count: 0, next_attempts: BTreeMap::new() };
+    let mut full_servers = FullServers { harness, send_count: 0, next_attempts: BTreeMap::new() };
 
     for _ in 0..200 {
-        fleet.harness.submit_request();
-        let mut actions = fleet.harness.actions.clone();
-        actions.extend(fleet.harness.advance_ms(5.0));
-        fleet.reject_all(actions);
+        full_servers.harness.submit_request();
+        let mut actions = full_servers.harness.actions.clone();
+        actions.extend(full_servers.harness.advance_ms(5.0));
+        full_servers.reject_all(actions);
     }
-    fleet.harness.advance_ms(300.0);
+    full_servers.harness.advance_ms(300.0);
 
-    let send_count = fleet.send_count;
+    let send_count = full_servers.send_count;
     assert!(send_count < 120, "{send_count} attempts for 200 requests to full servers");
-    fleet.harness.assert_no_violations();
+    full_servers.harness.assert_no_violations();
 }
 
 /// Returns how many of 300 requests one of `balancer_count` balancers sends to a server that responds late.
--- a/crates/balancer-core/tests/load_polling.rs
+++ b/crates/balancer-core/tests/load_polling.rs
@@ -1,5 +1,5 @@
-//! Tests of load polling: in a sparse view, the candidates for a request are asked for their load by cheap
-//! health checks.
+//! Tests of load polling: in a sparse view, the candidates for a request are polled for their load if
+//! health checks are cheap.
 
 mod common;
 
@@ -43,8 +43,8 @@
     })
 }
 
-/// Without load polls, a third of the responses would be late by chance, because a balancer has no requests of
-/// its own in flight by which it could compare servers.
+/// Without load polls, a third of the responses would be late by chance, because a balancer has no requests
+/// of its own in flight by which it could compare servers.
 #[test]
 fn cheap_load_polls_find_the_least_loaded_candidate() {
     let mut harness = Harness::with_endpoints(polling_settings(), 10, fleet(20));
@@ -83,6 +83,8 @@
     assert!(find_target(&actions, request.id).is_some(), "the request is sent even without any report");
 }
 
+/// Candidates are not polled if health checks cost too much or are not allowed, if load reports contain no
+/// load, or in a dense view.
 #[test]
 fn costly_or_useless_load_polls_are_not_sent() {
     let costly = Costs { health_check: 0.01, ..Costs::default() };
--- a/crates/balancer-core/tests/outlier_ejection.rs
+++ b/crates/balancer-core/tests/outlier_ejection.rs
@@ -1,5 +1,5 @@
-//! Tests of outlier ejection: servers that hang, fail fast or slow down are ejected and restored, and a load
-//! that slows the whole fleet ejects none.
+//! Tests of outlier ejection: servers that do not respond, fail quickly or become slow are ejected, and used
+//! again once they have recovered. A load that slows the whole fleet ejects no server.
 
 mod common;
 
@@ -9,11 +9,13 @@
     SECOND_ATTEMPT,
 };
 
+/// Returns a harness with a dense view and one class of this effect.
 fn harness(effect: Effect, seed: u64, server_count: u32) -> Harness {
     Harness::with_endpoints(settings_with_effect(effect), seed, fleet(server_count))
 }
 
-/// Sends requests one after the other, checks the rules and returns the number of attempts at each server.
+/// Sends requests one after the other and ends each attempt with the response that `respond` returns for its
+/// server. Asserts that no rule was violated, and returns the number of attempts at each server.
 fn serve(harness: &mut Harness, request_count: u32, respond: impl Fn(ServerId) -> Response) -> Vec<u32> {
     let load = SequentialLoad { request_count, pause_ms: 5.0 };
     let attempts_by_server = harness.serve_sequentially(load, respond);
@@ -21,6 +23,7 @@
     attempts_by_server
 }
 
+/// Like [`serve`], but each attempt succeeds after `elapsed_ms`.
 fn serve_successfully(harness: &mut Harness, request_count: u32, elapsed_ms: f64) -> Vec<u32> {
     serve(harness, request_count, |_| Response::success(elapsed_ms))
 }
@@ -29,10 +32,12 @@
     matches!(action, Action::Cancel { .. })
 }
 
+/// Returns the action that cancels the first attempt of a request.
 fn cancel_of_first_attempt(request: RequestId) -> Action {
     Action::Cancel { request, attempt: FIRST_ATTEMPT }
 }
 
+/// A server that fails quickly has few attempts in flight, so it seems to be the least loaded server.
 #[test]
 fn quick_errors_do_not_attract_requests() {
     for fault in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::ConnectionReset] {
@@ -44,9 +49,9 @@
         });
         let after_fault = serve_successfully(&mut harness, 400, 30.0);
 
-        assert!(during_fault[2] <= 12, "{fault:?}: {during_fault:?}, of them probes only");
-        assert!(during_fault[2] >= 3, "{fault:?}: {during_fault:?}, it is tried again");
-        assert!(after_fault[2] > 30, "{fault:?}: {after_fault:?}, it is restored");
+        assert!(during_fault[2] <= 12, "{fault:?}: {during_fault:?}, more than probes");
+        assert!(during_fault[2] >= 3, "{fault:?}: {during_fault:?}, too few probes");
+        assert!(after_fault[2] > 30, "{fault:?}: {after_fault:?}, not used again");
     }
 }
 
@@ -72,7 +77,7 @@
     assert!(attempts.iter().all(|count| *count > 20), "{attempts:?}");
 }
 
-/// A server that more than one of these requests were sent to.
+/// Returns a server that more than one of these requests were sent to.
 fn server_with_several_requests(requests: &[SubmittedRequest]) -> Option<ServerId> {
     let count_at = |server| requests.iter().filter(|request| request.server == Some(server)).count();
     requests.iter().filter_map(|request| request.server).find(|&server| count_at(server) > 1)
@@ -82,12 +87,12 @@
 fn silent_server_is_ejected_and_its_idempotent_requests_are_retried() {
     let mut harness = harness(Effect::Idempotent, 5, 4);
     serve_successfully(&mut harness, 40, 20.0);
-    // Two requests are pending at the silent server; all other servers answer theirs.
+    // At least two requests are in flight at the silent server. All other servers respond.
     let requests = harness.submit_burst(8);
     let silent = server_with_several_requests(&requests).expect("more requests than servers");
-    let (hanging, answered): (Vec<_>, Vec<_>) =
+    let (hanging, others): (Vec<_>, Vec<_>) =
         requests.into_iter().partition(|request| request.server == Some(silent));
-    for request in answered {
+    for request in others {
         harness.succeed(request.id, 20.0);
     }
 
@@ -100,10 +105,11 @@
         harness.end_attempt(request.id, SECOND_ATTEMPT, Outcome::Success, 20.0);
     }
     let attempts = serve_successfully(&mut harness, 6, 20.0);
-    assert_eq!(attempts[silent.0 as usize], 0, "not before its first probe");
+    assert_eq!(attempts[silent.0 as usize], 0, "the silent server is sent no request before its first probe");
 }
 
-/// At low load, costly requests once had healthy servers ejected, and were retried in vain.
+/// At low load, an attempt that takes long may be a costly request. If the attempt were overdue before its
+/// latency objective, healthy servers would be ejected and costly requests would be retried in vain.
 #[test]
 fn costly_request_is_not_overdue_before_its_objective() {
     let mut harness = harness(Effect::Idempotent, 5, 4);
@@ -115,11 +121,11 @@
 
     let is_reaction = |action: &Action| is_cancel(action) || matches!(action, Action::Notify(_));
     assert!(!before_objective.iter().any(is_reaction));
-    assert!(after_objective.iter().any(is_reaction), "past its objective it counts");
+    assert!(after_objective.iter().any(is_reaction), "the request is overdue after its objective");
 }
 
-/// The request's answer is lost while its server answers others. It once stayed in flight, counting towards
-/// the concurrency limit, until its deadline.
+/// The response to a request is lost while its server responds to other requests. If the attempt were not
+/// cancelled, it would stay in flight and count towards the concurrency limit until the request's deadline.
 #[test]
 fn hanging_idempotent_request_is_cancelled_and_retried() {
     let late_class = RequestClass { late_value: 0.3, ..class(Effect::Idempotent) };
@@ -138,8 +144,8 @@
     });
     harness.end_attempt(hanging, FIRST_ATTEMPT, Outcome::Cancelled, 300.0);
 
-    assert!(is_cancelled, "well before its deadline");
-    assert!(harness.target_of(hanging).is_some(), "and sent again");
+    assert!(is_cancelled, "the attempt is cancelled well before the deadline");
+    assert!(harness.target_of(hanging).is_some(), "the request is retried");
     harness.assert_no_violations();
 }
 
@@ -155,17 +161,18 @@
     harness.assert_no_violations();
 }
 
-/// One lost answer in seven once lowered the concurrency limit of a fast server to one request.
+/// If lost responses counted as load, one lost response in seven would lower the concurrency limit of a fast
+/// server to one request.
 #[test]
-fn lost_answer_among_quick_ones_does_not_count_as_load() {
+fn lost_response_among_quick_ones_does_not_count_as_load() {
     let mut harness = harness(Effect::AtMostOnce, 5, 1);
     serve_successfully(&mut harness, 100, 20.0);
 
     for _ in 0..40 {
         let lost = harness.submit_request();
-        assert!(lost.is_sent(), "there is capacity for it");
+        assert!(lost.is_sent(), "the server has capacity for the request");
         for _ in 0..6 {
-            harness.submit_and_succeed(20.0).expect("there is capacity beside it");
+            harness.submit_and_succeed(20.0).expect("the server has capacity for a second request");
         }
         harness.advance_ms(680.0);
         harness.end_attempt(lost.id, FIRST_ATTEMPT, Outcome::TimedOut, 800.0);
@@ -174,8 +181,9 @@
     harness.assert_no_violations();
 }
 
-/// Without load reports, a tie once went to the server with the fewest requests since the start, so that a
-/// server that joined late or returned won every tie until it had caught up with the others.
+/// Without load reports, ties between servers are broken at random. If the server with the fewest requests
+/// since the start won, a server that joins late or returns would win every tie until it has caught up with
+/// the others.
 #[test]
 fn late_joining_server_does_not_win_every_tie() {
     let mut harness = harness(Effect::Idempotent, 11, 4);
@@ -184,10 +192,11 @@
     harness.set_endpoints(fleet(5));
     let attempts = serve_successfully(&mut harness, 100, 30.0);
 
-    assert!((5..50).contains(&attempts[4]), "{attempts:?}: about a fifth are its");
+    assert!((5..50).contains(&attempts[4]), "{attempts:?}: about a fifth should go to the fifth server");
 }
 
-/// Idempotent requests probe an ejected server first; where there are none, requests of other classes must.
+/// Idempotent requests are preferred as probes of an ejected server. If no class is idempotent, requests of
+/// other classes must probe the server.
 #[test]
 fn ejected_server_is_restored_without_idempotent_classes() {
     let mut harness = harness(Effect::AtMostOnce, 11, 3);
--- a/crates/balancer-core/tests/retry_permissions.rs
+++ b/crates/balancer-core/tests/retry_permissions.rs
@@ -1,4 +1,4 @@
-//! Tests that no effect happens twice: which retries may follow a failed attempt, and that a request that may
+//! Tests that no effect is duplicated: which retries may follow a failed attempt, and that a request that may
 //! have run is not rejected.
 
 mod common;
@@ -6,6 +6,7 @@
 use balancer_core::*;
 use common::*;
 
+/// Every outcome of a failed attempt.
 const FAILURES: [Outcome; 7] = [
     Outcome::ServerError,
     Outcome::Rejected,
@@ -30,14 +31,17 @@
 
 /// What the balancer did after the failed attempt.
 struct Reaction {
+    /// The server of the first attempt.
     first_server: u32,
-    /// The server of the retry, if there was one.
+    /// The server of the retry; `None` if there was no retry.
     retried_at: Option<u32>,
     is_failed: bool,
     is_rejected: bool,
 }
 
 impl FailedAttemptCase {
+    /// Returns all combinations of effect, outcome, and time within or past the window, with and without
+    /// hedging.
     fn all() -> Vec<FailedAttemptCase> {
         let effects = [
             Effect::Idempotent,
@@ -59,6 +63,7 @@
         cases
     }
 
+    /// Lets the first attempt of a request fail, and returns what the balancer did.
     fn run(&self) -> Reaction {
         let settings = Settings { allows_hedging: self.allows_hedging, ..settings_with_effect(self.effect) };
         let topology = Topology { zone_count: ZONE_COUNT, cell_count: CELL_COUNT };
@@ -76,6 +81,7 @@
         reaction
     }
 
+    /// Asserts that the balancer did what the effect and the outcome permit.
     fn assert_permits(&self, reaction: &Reaction) {
         let did_not_run = self.outcome.proves_not_run();
         let is_retried = reaction.retried_at.is_some();
@@ -95,6 +101,8 @@
         }
     }
 
+    /// Asserts that a request that may have run is retried only at servers that deduplicate it. Past the
+    /// window, asserts that the request is rejected if all servers deduplicate it, and failed otherwise.
     fn assert_stays_in_scope(&self, scope: DedupScope, is_in_window: bool, reaction: &Reaction) {
         let first = reaction.first_server;
         let next = reaction.retried_at.unwrap_or(first);
@@ -109,8 +117,8 @@
     }
 }
 
-/// All combinations of effect, deduplication scope, outcome of the first attempt, and time inside or past the
-/// window.
+/// Covers all combinations of effect, deduplication scope, outcome of the first attempt, and time within or
+/// past the window.
 #[test]
 fn retry_permission_follows_effect_outcome_scope_and_window() {
     for case in FailedAttemptCase::all() {
@@ -119,7 +127,8 @@
     }
 }
 
-/// The scope is not that of the first attempt, which never ran, nor that of the last one.
+/// The zone of a retry is not that of the first attempt, which did not run, nor that of the last attempt. The
+/// second attempt determines the zone.
 #[test]
 fn deduplication_scope_is_that_of_the_first_attempt_that_may_have_run() {
     let effect = deduplicated(DedupScope::Zone, 400.0);
@@ -129,16 +138,20 @@
         let request = harness.submit_request();
 
         harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ConnectFailed, 1.0);
-        let second = harness.target_of(request.id).expect("never ran: anywhere").0;
+        let second = harness
+            .target_of(request.id)
+            .expect("the first attempt did not run, so any server may be used")
+            .0;
         harness.end_attempt(request.id, SECOND_ATTEMPT, Outcome::ConnectionReset, 1.0);
-        let third = harness.target_of(request.id).expect("inside the window: same zone").0;
+        let third =
+            harness.target_of(request.id).expect("servers of the same zone may be used within the window").0;
 
         assert_eq!(third % 3, second % 3);
         harness.assert_no_violations();
     }
 }
 
-/// Proof that a later attempt did not run says nothing about an earlier one.
+/// A rejection proves that the second attempt did not run, but the first attempt may have run.
 #[test]
 fn later_proof_of_not_running_does_not_clear_an_earlier_attempt() {
     let settings = settings_with_effect(deduplicated(DedupScope::Cell, 5000.0));
@@ -153,17 +166,18 @@
 
     let third_cell = harness.target_of(request.id).map(|server| server.0 % 4);
     assert_eq!(third_cell.unwrap_or(first_cell), first_cell);
-    assert!(!is_rejected(&harness.actions, request.id), "it may have run in the first attempt");
+    assert!(!is_rejected(&harness.actions, request.id), "the first attempt may have run");
     harness.assert_no_violations();
 }
 
-/// Until when an attempt may be written.
+/// The limit on the time at which an attempt that is sent may be written.
 #[derive(Debug, PartialEq)]
 struct WriteLimit {
+    /// The time by which the attempt must be written; `None` if there is no limit.
     write_by: Option<Time>,
 }
 
-/// The write limit of the first of these attempts.
+/// Returns the write limit of the first attempt that these actions send; `None` if they send no attempt.
 fn write_limit_of_first_send(actions: &[Action]) -> Option<WriteLimit> {
     actions.iter().find_map(|action| match action {
         Action::Send { write_by, .. } => Some(WriteLimit { write_by: *write_by }),
@@ -171,11 +185,11 @@
     })
 }
 
-/// An attempt may be written as late as the connect timeout after its decision. A retry that could then be
-/// past the window is not started; one that is started carries the end of the window, which is counted from
-/// the first attempt that may have run.
+/// An attempt may be written as late as the connect timeout after the decision to send it. A retry that could
+/// then be written past the window is not sent. A retry that is sent must be written by the end of the
+/// window, which is counted from the first attempt that may have run.
 #[test]
-fn retry_carries_the_end_of_its_deduplication_window() {
+fn retry_is_written_by_the_end_of_its_deduplication_window() {
     let settings = Settings {
         connect_timeout: Span::from_millis(250),
         max_attempts: 6,
--- a/crates/balancer-core/tests/rule_checker.rs
+++ b/crates/balancer-core/tests/rule_checker.rs
@@ -1,4 +1,4 @@
-//! Tests of the rule checker that the other tests rely on: it must report a violation of each kind.
+//! Tests of the rule checker that the other tests rely on: the checker must report violations of the rules.
 
 mod common;
 
@@ -7,10 +7,10 @@
 
 const REQUEST: RequestId = RequestId(1);
 const THIRD_ATTEMPT: AttemptNumber = AttemptNumber(2);
-/// When [`REQUEST`] arrives.
+/// The time at which [`REQUEST`] arrives.
 const START: Time = Time::from_millis(1000);
 
-/// A checker that has observed a fleet of four servers and the arrival of [`REQUEST`].
+/// Returns a checker that has observed a fleet of four servers and the arrival of [`REQUEST`].
 fn checker_with_request(effect: Effect) -> RuleChecker {
     let settings =
         Settings { initial_capacity: 0.2, warm_up_time: Span::from_secs(10), ..settings_with_effect(effect) };
@@ -21,15 +21,17 @@
     checker
 }
 
+/// Returns the arrival of a request of class 0.
 fn request_event(id: RequestId) -> Event {
     Event::Request(Request::new(id, ClassId(0), CLASS_TIMEOUT))
 }
 
+/// Returns the change of one entry of the endpoint list.
 fn endpoint_changed(endpoint: Endpoint) -> Event {
     Event::Endpoints(EndpointUpdate::Changes(vec![endpoint]))
 }
 
-/// Sends [`REQUEST`] to a server.
+/// Returns the action that sends [`REQUEST`] to a server.
 fn send_to(server: ServerId, now: Time) -> Action {
     send(REQUEST, server, now + Span::from_millis(1))
 }
@@ -38,7 +40,7 @@
     Action::Send { request, server, timeout_at, write_by: None }
 }
 
-/// The end of an attempt of [`REQUEST`], which leaves the request unfinished.
+/// Returns the end of an attempt of [`REQUEST`] that does not finish the request.
 fn attempt_ended(outcome: Outcome, attempt: AttemptNumber) -> Event {
     Event::AttemptEnded {
         request: REQUEST,
@@ -63,7 +65,7 @@
 const FAIL: Action = Action::Fail { request: REQUEST };
 
 #[test]
-fn lost_late_and_duplicate_answers_and_sends_after_the_end_are_violations() {
+fn lost_late_and_duplicate_final_responses_and_later_sends_are_violations() {
     let mut checker = checker_with_request(Effect::Idempotent);
     assert_eq!(checker.lost_request_count(START + Span::from_millis(900)), 1);
     checker.check_action(START, &REJECT);
@@ -117,7 +119,7 @@
     let mut checker = checker_with_request(Effect::Idempotent);
     let warming_up = Endpoint { started_at: Some(START), ..Endpoint::serving(ServerId(0)) };
     checker.observe_event(START, &endpoint_changed(warming_up));
-    // The checker reports overload only once the warm servers have been the same for a whole window.
+    // The checker reports an overload only after the warm servers have been the same for a whole window.
     let after_window = START + Settings::default().overload_window;
     for number in 2..13 {
         let sent_at = if number == 2 { START } else { after_window };
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Tests that impossible settings are errors and not panics, and that one class is all that settings need.
+//! Tests that invalid settings return errors and do not panic, and that settings need only one class.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// The error of a balancer with default settings and this change.
+/// Creates a balancer from the default settings with this change, and returns the error.
 fn error_after(change: fn(&mut Settings)) -> Option<SettingsError> {
     let mut settings = Settings::default();
     change(&mut settings);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn impossible_settings_return_errors() {
+fn invalid_settings_return_errors() {
     assert_eq!(error_after(|settings| settings.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(error_after(|settings| settings.max_attempts = 0), Some(SettingsError::NoAttempts));
     assert_eq!(
@@ -36,8 +36,8 @@
     assert_eq!(error_after(|_| ()), None);
 }
 
-/// Without load reports, routing keys, tenants, health checks, cancels or retry advice, and with goal weights
-/// of zero, requests are served.
+/// Requests are served without load reports, routing keys, tenants, health checks, cancelled attempts or
+/// retry advice, and with goal weights of zero.
 #[test]
 fn settings_with_only_a_class_suffice() {
     let settings = Settings {
--- a/crates/balancer-core/tests/shedding.rs
+++ b/crates/balancer-core/tests/shedding.rs
@@ -1,4 +1,4 @@
-//! Tests of shedding: under overload, the requests that are worth least are rejected first.
+//! Tests of shedding: during an overload, the requests with the lowest value are rejected first.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// A timeout shorter than its class's usual one marks a client's retry; past its latency objective, serving
-/// it is wasted work.
+/// A request whose timeout differs from the typical one of its class is taken to be a client's retry, which
+/// has used some of its latency objective. Work for the request is wasted once the objective has passed.
 #[test]
 fn client_retry_past_its_latency_objective_is_rejected() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(9));
@@ -18,16 +18,16 @@
     };
 
     for number in 0..10 {
-        assert!(is_sent(number, 500.0), "first tries of a class wait alike, here for 500 of 800 ms");
+        assert!(is_sent(number, 500.0), "all first attempts have the same timeout, here 500 of 800 ms");
     }
-    assert!(is_sent(10, 700.0), "100 ms spent: half of the objective is left");
-    assert!(!is_sent(11, 580.0), "220 ms spent: past the objective of 200");
+    assert!(is_sent(10, 700.0), "100 ms have passed, so half of the objective is left");
+    assert!(!is_sent(11, 580.0), "220 ms have passed, which is past the objective of 200 ms");
 }
 
-/// The time that a server of [`OverloadedService`] takes for a request.
+/// The time that a server of [`OverloadedFleet`] takes for each request.
 const SERVICE_TIME_MS: f64 = 40.0;
 
-/// The class and tenant of requests, which are counted together.
+/// The class and the tenant of a request. Requests with the same class and tenant are counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestGroup {
     class: ClassId,
@@ -40,74 +40,79 @@
     }
 }
 
+/// The numbers of requests of a group that were submitted, and that succeeded.
 #[derive(Debug, Default)]
 struct Tally {
-    offered: u32,
+    submitted: u32,
     served: u32,
 }
 
 impl Tally {
-    fn served_share(&self) -> f64 {
-        f64::from(self.served) / f64::from(self.offered)
+    fn served_fraction(&self) -> f64 {
+        f64::from(self.served) / f64::from(self.submitted)
     }
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 struct PendingRequest {
     request: Request,
-    /// When its server answers; `None` while it has not been sent.
-    answered_at: Option<Time>,
+    /// The time at which the server responds; `None` while the request has not been sent.
+    responds_at: Option<Time>,
 }
 
-/// A fleet of two servers that is offered more requests than it can serve.
-struct OverloadedService {
+/// A fleet of two servers whose clients submit more requests than the servers can serve.
+struct OverloadedFleet {
     harness: Harness,
     pending: Vec<PendingRequest>,
     tallies: BTreeMap<RequestGroup, Tally>,
 }
 
-impl OverloadedService {
-    /// Offers 6000 requests, one every 2 ms; returns the served share of each group.
-    fn served_shares(settings: Settings, request: impl Fn(u32) -> Request) -> Vec<f64> {
+impl OverloadedFleet {
+    /// Submits 6000 requests, one every 2 ms. Returns the fraction of the requests of each group that were
+    /// served, in the order of classes and tenants.
+    fn served_fractions(settings: Settings, request: impl Fn(u32) -> Request) -> Vec<f64> {
         let harness = Harness::with_endpoints(settings, 3, fleet(2));
-        let mut service = OverloadedService { harness, pending: Vec::new(), tallies: BTreeMap::new() };
+        let mut overloaded = OverloadedFleet { harness, pending: Vec::new(), tallies: BTreeMap::new() };
         for number in 0..6000 {
-            service.offer(request(number));
+            overloaded.submit(request(number));
         }
-        service.tallies.values().map(Tally::served_share).collect()
+        overloaded.tallies.values().map(Tally::served_fraction).collect()
     }
 
-    fn offer(&mut self, request: Request) {
-        self.tallies.entry(RequestGroup::of(&request)).or_default().offered += 1;
+    /// Submits a request, and advances the clock by 2 ms.
+    fn submit(&mut self, request: Request) {
+        self.tallies.entry(RequestGroup::of(&request)).or_default().submitted += 1;
         let mut actions = self.harness.handle(Event::Request(request.clone())).to_vec();
-        self.pending.push(PendingRequest { request, answered_at: None });
+        self.pending.push(PendingRequest { request, responds_at: None });
         actions.extend(self.harness.advance_ms(2.0));
-        actions.extend(self.answer_due_requests());
+        actions.extend(self.succeed_due_requests());
         for action in actions {
-            self.record_send(&action);
+            self.schedule_response(&action);
         }
     }
 
-    fn answer_due_requests(&mut self) -> Vec<Action> {
+    /// Ends the requests whose response is due with success, and returns the resulting actions.
+    fn succeed_due_requests(&mut self) -> Vec<Action> {
         let now = self.harness.now;
-        let is_due = |pending: &&PendingRequest| pending.answered_at.is_some_and(|at| at <= now);
+        let is_due = |pending: &&PendingRequest| pending.responds_at.is_some_and(|at| at <= now);
         let due = self.pending.iter().filter(is_due);
         let due: Vec<RequestId> = due.map(|pending| pending.request.id).collect();
         let mut actions = Vec::new();
         for id in due {
             actions.extend_from_slice(self.harness.succeed(id, SERVICE_TIME_MS));
             let position = self.pending.iter().position(|pending| pending.request.id == id);
-            let answered = self.pending.swap_remove(position.expect("it is pending"));
-            let tally = self.tallies.get_mut(&RequestGroup::of(&answered.request));
-            tally.expect("it was counted").served += 1;
+            let served = self.pending.swap_remove(position.expect("the request is pending"));
+            let tally = self.tallies.get_mut(&RequestGroup::of(&served.request));
+            tally.expect("the request was counted").served += 1;
         }
         actions
     }
 
-    fn record_send(&mut self, action: &Action) {
+    /// Schedules the response to a request if the action sends the request.
+    fn schedule_response(&mut self, action: &Action) {
         let Action::Send { request, .. } = action else { return };
         if let Some(sent) = self.pending.iter_mut().find(|pending| pending.request.id == *request) {
-            sent.answered_at = Some(self.harness.now + Span::from_millis_f64(SERVICE_TIME_MS));
+            sent.responds_at = Some(self.harness.now + Span::from_millis_f64(SERVICE_TIME_MS));
         }
     }
 }
@@ -119,7 +124,7 @@
     let classes = vec![weighted(1.0), weighted(3.0), weighted(10.0)];
     let settings = Settings { classes, goal, ..Settings::default() };
 
-    let served = OverloadedService::served_shares(settings, |number| {
+    let served = OverloadedFleet::served_fractions(settings, |number| {
         let class = ClassId((number % 3) as usize);
         Request::new(RequestId(u64::from(number)), class, CLASS_TIMEOUT)
     });
@@ -129,15 +134,15 @@
 }
 
 #[test]
-fn tenant_over_its_quota_is_served_less() {
+fn tenant_over_its_share_is_served_less() {
     let tenant = |share| Tenant { share, quota_per_s: 100.0 };
     let tenants = vec![tenant(0.3), tenant(0.7)];
     let settings = Settings { tenants, over_share_value: 0.1, ..idempotent_settings() };
 
-    let served = OverloadedService::served_shares(settings, |number| Request {
+    let served = OverloadedFleet::served_fractions(settings, |number| Request {
         tenant: Some(TenantId(usize::from(number % 5 == 0))),
         ..Request::new(RequestId(u64::from(number)), ClassId(0), CLASS_TIMEOUT)
     });
 
-    assert!(served[1] > served[0] + 0.05, "the one within its share: {served:?}");
+    assert!(served[1] > served[0] + 0.05, "a larger fraction of the tenant within its share: {served:?}");
 }
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -1,11 +1,13 @@
-//! Tests of slow start: a server that has just started is sent at most its share of the requests.
+//! Tests of slow start: a server that is warming up is sent at most its capacity share of a warm server's
+//! load.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-const RESPONSE_MS: f64 = 20.0;
+/// The latency of every attempt.
+const LATENCY_MS: f64 = 20.0;
 
 fn settings() -> Settings {
     Settings {
@@ -18,13 +20,13 @@
     }
 }
 
-/// A fleet all of whose servers started at the same time.
+/// Returns a fleet whose servers all started at `started_at`.
 fn warming_up_fleet(server_count: u32, started_at: Time) -> Vec<Endpoint> {
     let warming_up = |endpoint| Endpoint { started_at: Some(started_at), ..endpoint };
     fleet(server_count).into_iter().map(warming_up).collect()
 }
 
-/// Requests at a constant rate.
+/// Requests that are submitted at a constant rate.
 struct SteadyLoad {
     requests_per_s: f64,
     duration_ms: f64,
@@ -32,6 +34,7 @@
     counted_server: ServerId,
 }
 
+/// The numbers of requests that were sent immediately.
 #[derive(Debug, Default)]
 struct SendCounts {
     to_counted_server: u32,
@@ -44,7 +47,7 @@
 }
 
 impl SteadyLoad {
-    /// Sends the requests, each of which succeeds after `RESPONSE_MS`.
+    /// Submits the requests. Each request that is sent immediately succeeds after [`LATENCY_MS`].
     fn run(&self, harness: &mut Harness) -> SendCounts {
         let mut counts = SendCounts::default();
         let mut in_flight: Vec<InFlightRequest> = Vec::new();
@@ -54,7 +57,7 @@
             if let Some(server) = request.server {
                 counts.total += 1;
                 counts.to_counted_server += u32::from(server == self.counted_server);
-                let ends_at = harness.now + Span::from_millis_f64(RESPONSE_MS);
+                let ends_at = harness.now + Span::from_millis_f64(LATENCY_MS);
                 in_flight.push(InFlightRequest { id: request.id, ends_at });
             }
             harness.advance_ms(1000.0 / self.requests_per_s);
@@ -71,11 +74,11 @@
 
 fn succeed_all(harness: &mut Harness, requests: Vec<InFlightRequest>) {
     for request in requests {
-        harness.succeed(request.id, RESPONSE_MS);
+        harness.succeed(request.id, LATENCY_MS);
     }
 }
 
-/// 200 requests per second, of which those to server 5 are counted.
+/// Returns a load of 200 requests per second, of which those to server 5 are counted.
 fn load_on_six_servers(duration_ms: f64) -> SteadyLoad {
     SteadyLoad { requests_per_s: 200.0, duration_ms, counted_server: ServerId(5) }
 }
@@ -93,15 +96,18 @@
 
     let warming_up = at_first.to_counted_server;
     let warm_average = f64::from(at_first.total - warming_up) / 5.0;
-    assert!(f64::from(warming_up) <= 0.5 * warm_average, "{warming_up}, a warm one {warm_average}");
-    assert!(warming_up >= 1, "it is not shut out either");
+    assert!(
+        f64::from(warming_up) <= 0.5 * warm_average,
+        "{warming_up} sent to the server, {warm_average} to a warm one"
+    );
+    assert!(warming_up >= 1, "the server is sent some requests");
     let average = f64::from(once_warm.total) / 6.0;
-    assert!(f64::from(once_warm.to_counted_server) > 0.5 * average, "warm by then: {once_warm:?}");
+    assert!(f64::from(once_warm.to_counted_server) > 0.5 * average, "the server is warm: {once_warm:?}");
     harness.assert_no_violations();
 }
 
 #[test]
-fn restart_during_slow_start_begins_it_again() {
+fn restart_during_slow_start_restarts_slow_start() {
     let mut harness = Harness::new(settings(), 4);
     let mut endpoints = fleet(6);
     endpoints[5].started_at = Some(harness.now);
@@ -118,7 +124,7 @@
 }
 
 #[test]
-fn fleet_or_lone_server_that_is_warming_up_still_serves() {
+fn single_server_or_whole_fleet_that_is_warming_up_still_serves() {
     for server_count in [1, 4] {
         let mut harness = Harness::new(settings(), 4);
         harness.set_endpoints(warming_up_fleet(server_count, harness.now));
@@ -131,9 +137,9 @@
     }
 }
 
-/// Until it has answered requests, a fleet that is warming up must not be sent all that arrive.
+/// A fleet that is warming up must not be sent all requests that arrive before it has responded to some.
 #[test]
-fn fleet_that_is_all_warming_up_is_paced_by_its_answers() {
+fn fleet_that_is_all_warming_up_is_sent_few_requests_before_it_responds() {
     let mut harness = Harness::new(settings(), 4);
     harness.set_endpoints(warming_up_fleet(4, harness.now));
 
@@ -142,7 +148,7 @@
     assert!(sent_count <= 8, "{sent_count} sent at once to four servers at a fifth of their capacity");
 }
 
-/// On a clock that starts near the epoch, servers have not started lately.
+/// A server without a start time is warm, even if the clock starts near the epoch.
 #[test]
 fn clock_near_zero_puts_no_server_in_slow_start() {
     let mut balancer = Balancer::new(settings(), 1).expect("usable settings");
--- a/crates/balancer-core/tests/sparse_slow_start.rs
+++ b/crates/balancer-core/tests/sparse_slow_start.rs
@@ -1,5 +1,5 @@
-//! Tests of slow start in a sparse view: the share of a warm server's load that a server that is warming up
-//! is sent.
+//! Tests of slow start in a sparse view: how many requests a server that is warming up is sent, compared with
+//! a warm server.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 const INITIAL_CAPACITY: f64 = 0.25;
 
-/// Settings with which servers stay at their initial capacity.
+/// Returns settings with which servers that are warming up stay at their initial capacity.
 fn settings_with_endless_warm_up() -> Settings {
     Settings {
         initial_capacity: INITIAL_CAPACITY,
@@ -17,7 +17,7 @@
     }
 }
 
-/// A harness with 40 servers, of which the last 20 have just started.
+/// Returns a harness with 40 servers, of which the last 20 have just started.
 fn harness_with_half_warming_up(settings: Settings, seed: u64) -> Harness {
     let mut harness = Harness::new(settings, seed);
     let mut endpoints = fleet(40);
@@ -26,9 +26,9 @@
     harness
 }
 
-/// The capacity share of a server that is warming up was once applied twice, on entering the balancer's
-/// memory and at each choice from it: the server got the square of its share, and the warm servers were
-/// overloaded.
+/// The capacity share limits how often a server that is warming up enters the balancer's memory. If the share
+/// were applied again at each choice from the memory, the server would be sent the square of its share, and
+/// the warm servers would be overloaded.
 #[test]
 fn warming_up_server_gets_its_capacity_share() {
     let costs = Costs { handshake: 0.08, ..Settings::default().costs };
@@ -39,12 +39,16 @@
 
     let to_warm: u32 = attempts[..20].iter().sum();
     let to_warming_up: u32 = attempts[20..].iter().sum();
-    let share = f64::from(to_warming_up) / f64::from(to_warm);
+    let ratio = f64::from(to_warming_up) / f64::from(to_warm);
     let expected = 0.7 * INITIAL_CAPACITY..1.4 * INITIAL_CAPACITY;
-    assert!(expected.contains(&share), "one that is warming up was sent {share:.2} of a warm one's requests");
+    assert!(
+        expected.contains(&ratio),
+        "a server that is warming up was sent {ratio:.2} times the requests of a warm one"
+    );
 }
 
-/// The number of three requests that go to the odd-numbered ones of ten servers, which have just restarted.
+/// Restarts the servers with odd numbers in a fleet of ten, and returns how many of the next three requests
+/// go to them.
 fn requests_to_restarted_servers(seed: u64) -> u32 {
     let settings = Settings { initial_capacity: 0.1, ..sparse_settings() };
     let mut harness = Harness::with_endpoints(settings, seed, fleet(10));
@@ -57,16 +61,21 @@
     attempts_by_server.iter().skip(1).step_by(2).sum()
 }
 
-/// A balancer that remembered it as warm would go on sending it a warm server's share.
+/// If a balancer still remembered a restarted server, it would go on sending the server as many requests as a
+/// warm one.
 #[test]
 fn restarted_server_goes_through_slow_start_again() {
     let to_restarted: u32 = (0..60).map(requests_to_restarted_servers).sum();
 
-    assert!((4..36).contains(&to_restarted), "{to_restarted} of 180 to the half that has just started");
+    assert!(
+        (4..36).contains(&to_restarted),
+        "{to_restarted} of 180 sent to the half of the servers that has restarted"
+    );
 }
 
-/// The number of requests sent to servers that are warming up, as a share of those sent to warm servers.
-fn share_of_warming_up_servers(warm_ms: f64, warming_up_ms: f64) -> f64 {
+/// Returns the number of requests sent to servers that are warming up, divided by the number sent to warm
+/// servers, for these latencies of the warm servers and of those that are warming up.
+fn warming_up_request_ratio(warm_ms: f64, warming_up_ms: f64) -> f64 {
     let settings = Settings { overload_factor: 3.0, ..settings_with_endless_warm_up() };
     let mut harness = harness_with_half_warming_up(settings, 17);
     let mut to_warm = 0;
@@ -83,15 +92,16 @@
     f64::from(to_warming_up) / f64::from(to_warm)
 }
 
-/// Servers that are warming up were once kept to their guaranteed capacity even if they answered faster than
-/// the warm servers that got the rest. If faster, they get more, up to half of what would overload them; if
-/// slower, they get no more than before.
+/// Servers that are warming up are sent more than their guaranteed capacity share if they respond faster than
+/// warm servers, up to half of the load that makes them fail. Otherwise the slower warm servers would be sent
+/// the rest. Servers that are warming up and respond more slowly are sent no more than their share.
 #[test]
 fn warming_up_servers_faster_than_warm_ones_get_more() {
-    let share_if_faster = share_of_warming_up_servers(60.0, 40.0);
-    let share_if_slower = share_of_warming_up_servers(40.0, 60.0);
+    let ratio_if_faster = warming_up_request_ratio(60.0, 40.0);
+    let ratio_if_slower = warming_up_request_ratio(40.0, 60.0);
 
-    // 0.56 and 0.13 without the allowance, as a faster server is also more likely to be chosen.
-    assert!((0.7..0.9).contains(&share_if_faster), "those that answer sooner got {share_if_faster:.2}");
-    assert!((0.1..0.2).contains(&share_if_slower), "those that answer later got {share_if_slower:.2}");
+    // Without the allowance, the ratios are 0.56 and 0.13, because a faster server is also more likely to be
+    // chosen.
+    assert!((0.7..0.9).contains(&ratio_if_faster), "ratio {ratio_if_faster:.2} if faster");
+    assert!((0.1..0.2).contains(&ratio_if_slower), "ratio {ratio_if_slower:.2} if slower");
 }
--- a/crates/balancer-core/tests/sparse_view.rs
+++ b/crates/balancer-core/tests/sparse_view.rs
@@ -1,5 +1,5 @@
-//! Tests of routing in a sparse view, in which balancers outnumber servers and a balancer has hardly ever a
-//! request in flight at a server: how a server is chosen, and which connections are kept.
+//! Tests of routing in a sparse view: how a server is chosen, and which connections are kept. In this view,
+//! balancers outnumber servers, and a balancer rarely has a request in flight at a given server.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::*;
 use std::collections::BTreeSet;
 
-/// Smaller servers were once sent as much as the others and were overloaded first.
+/// If small servers were sent as many requests as large ones, the small servers would be overloaded first.
 #[test]
 fn load_follows_endpoint_weight() {
     let settings = Settings { endpoint_weights: EndpointWeights::Size, ..sparse_settings() };
@@ -20,11 +20,11 @@
     let large: u32 = attempts[..10].iter().sum();
     let small: u32 = attempts[10..].iter().sum();
     let ratio = f64::from(large) / f64::from(small);
-    assert!((2.3..3.7).contains(&ratio), "large machines were sent {ratio:.2} times as much");
+    assert!((2.3..3.7).contains(&ratio), "large servers were sent {ratio:.2} times as many requests");
 }
 
-/// Machines of equal weight can differ in speed. The latency of all servers of a machine kind shows it before
-/// that of a single server.
+/// Machines of equal weight can differ in speed. The common latency of all servers of a machine kind shows
+/// the difference sooner than the latency of a single server.
 #[test]
 fn load_follows_the_latency_of_a_machine_kind() {
     let mut endpoints = fleet(100);
@@ -44,8 +44,8 @@
     }
 
     let [fast, slow] = requests_by_kind;
-    assert!(fast > 2 * slow, "the kind that is three times as fast was sent {requests_by_kind:?}");
-    assert!(slow > 5, "the slow kind is not shut out: {requests_by_kind:?}");
+    assert!(fast > 2 * slow, "requests to the fast and the slow kind: {requests_by_kind:?}");
+    assert!(slow > 5, "the slow kind is still used: {requests_by_kind:?}");
 }
 
 /// How connections were used while requests were sent.
@@ -55,10 +55,11 @@
     reused_count: u32,
     /// The largest number of connections that were kept at the same time.
     max_kept: usize,
+    /// The servers that requests were sent to.
     used_servers: BTreeSet<ServerId>,
 }
 
-/// Sends requests one after the other and records which connections are kept.
+/// Sends requests one after the other, and records which connections are kept.
 fn record_connections(harness: &mut Harness, request_count: u32) -> ConnectionUse {
     let mut connections = ConnectionUse::default();
     let mut kept = BTreeSet::new();
@@ -75,14 +76,14 @@
                 kept.remove(&server);
             }
         }
-        assert!(kept.contains(&server), "a remembered server's connection is kept");
+        assert!(kept.contains(&server), "the connection to the last chosen server is kept");
         connections.max_kept = connections.max_kept.max(kept.len());
     }
     connections
 }
 
-/// Without the limit, each balancer came to keep a connection to each server, which exceeded the servers'
-/// limits.
+/// If connections to other servers were kept too, each balancer would come to keep a connection to each
+/// server. The servers would exceed their connection limits.
 #[test]
 fn only_remembered_servers_keep_their_connections() {
     let mut harness = Harness::with_endpoints(sparse_settings(), 3, fleet(20));
@@ -90,10 +91,10 @@
     let connections = record_connections(&mut harness, 200);
 
     let max_kept = connections.max_kept;
-    assert!(max_kept <= 6, "what is remembered no longer keeps none: {max_kept} kept");
+    assert!(max_kept <= 6, "{max_kept} connections kept, but only six servers are remembered");
 }
 
-/// Nearly every request once opened a connection, and the handshakes of all balancers overloaded the servers.
+/// If nearly every request opened a connection, the handshakes of all balancers would overload the servers.
 #[test]
 fn costly_handshakes_make_most_requests_reuse_connections() {
     let costs = Costs { handshake: 0.08, ..Settings::default().costs };
@@ -103,14 +104,14 @@
     let connections = record_connections(&mut harness, 500);
 
     let reused_count = connections.reused_count;
-    assert!((300..450).contains(&reused_count), "{reused_count} of 500 met a kept connection");
+    assert!((300..450).contains(&reused_count), "{reused_count} of 500 reused a connection");
     let used_count = connections.used_servers.len();
-    assert!(used_count > 50, "the draws still range over the fleet: {used_count} of 100 servers used");
+    assert!(used_count > 50, "candidates still come from the whole fleet: {used_count} of 100 servers used");
 }
 
-/// A server slowed by a noisy neighbour has no more requests of the balancer in flight than others, so it
-/// once stayed remembered and was sent more than its share. If all servers are slow it stays remembered, or
-/// every request would open a connection.
+/// A server that is slowed by a noisy neighbour has no more of the balancer's requests in flight than other
+/// servers. If it stayed remembered, it would be sent more requests than it has capacity for. If all servers
+/// are slow, the server must stay remembered, because every request would open a connection otherwise.
 #[test]
 fn relatively_slow_server_is_not_remembered() {
     const SLOW_SERVER: ServerId = ServerId(3);
@@ -118,8 +119,8 @@
     for (others_ms, is_kept) in [(20.0, false), (SLOW_MS, true)] {
         let mut harness = Harness::with_endpoints(sparse_settings(), 18, fleet(20));
         serve_successfully(&mut harness, 200, others_ms);
-        let mut answers_of_slow_server = 0;
-        while answers_of_slow_server < 5 {
+        let mut responses_of_slow_server = 0;
+        while responses_of_slow_server < 5 {
             let request = harness.submit_request();
             // If all servers are slow, most requests are rejected.
             let Some(server) = request.server else { continue };
@@ -127,9 +128,9 @@
             let mut actions = harness.advance_ms(elapsed_ms);
             actions.extend_from_slice(harness.succeed(request.id, elapsed_ms));
             if server == SLOW_SERVER {
-                answers_of_slow_server += 1;
+                responses_of_slow_server += 1;
                 let is_closed = actions.contains(&Action::CloseIdle { server });
-                assert_eq!(!is_closed, is_kept, "others take {others_ms} ms");
+                assert_eq!(!is_closed, is_kept, "the other servers take {others_ms} ms");
             }
         }
     }
--- a/crates/balancer-core/tests/suspicion.rs
+++ b/crates/balancer-core/tests/suspicion.rs
@@ -1,14 +1,16 @@
-//! Tests of suspicion in a sparse view: gossip about suspected servers, and zones that can't be reached.
+//! Tests of suspicion in a sparse view: gossip about suspected servers, and zones that cannot be reached.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
+/// Returns settings for a sparse view in which balancers send gossip.
 fn gossiping_settings() -> Settings {
     Settings { allows_gossip: true, ..sparse_settings() }
 }
 
+/// Returns the contents of the gossip messages that these actions send.
 fn gossip_payloads(actions: &[Action]) -> Vec<Vec<u8>> {
     let payload_of = |action: &Action| match action {
         Action::Gossip { payload, .. } => Some(payload.clone()),
@@ -17,19 +19,20 @@
     actions.iter().filter_map(payload_of).collect()
 }
 
-/// The number of requests to a server among the first three of each of 60 new balancers, sent `wait_ms` after
-/// gossip about it. Only the first few choices of a balancer show its suspicion, which a success clears.
-fn first_choices_after_gossip(server: ServerId, payload: &[u8], wait_ms: f64) -> u32 {
-    let choices_of_seed = |seed| {
+/// Returns how many of the first three requests of each of 60 new balancers are sent to a server, if the
+/// requests arrive `delay_ms` after a gossip message about the server. Only the first requests of a balancer
+/// show its suspicion, because a success ends the suspicion.
+fn first_requests_after_gossip(server: ServerId, payload: &[u8], delay_ms: f64) -> u32 {
+    let requests_with_seed = |seed| {
         let mut harness = Harness::with_endpoints(gossiping_settings(), seed, fleet(10));
         harness.handle(Event::Gossip { from: PeerId(1), payload: payload.to_vec() });
-        harness.advance_ms(wait_ms);
+        harness.advance_ms(delay_ms);
         serve_successfully(&mut harness, 3, 20.0)[server.0 as usize]
     };
-    (0..60).map(choices_of_seed).sum()
+    (0..60).map(requests_with_seed).sum()
 }
 
-/// Without gossip, each balancer would lose a request to a silent server before it avoided the server.
+/// Without gossip, each balancer would have to lose a request at a silent server before it avoids the server.
 #[test]
 fn gossip_is_sent_and_acted_on_until_it_expires() {
     let mut harness = Harness::with_endpoints(gossiping_settings(), 6, fleet(10));
@@ -40,8 +43,8 @@
     let payloads = gossip_payloads(harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::TimedOut, 790.0));
     assert!(!payloads.is_empty() && payloads.len() <= 128, "{} peers notified", payloads.len());
 
-    let soon = first_choices_after_gossip(silent, &payloads[0], 0.0);
-    let later = first_choices_after_gossip(silent, &payloads[0], 10_000.0);
+    let soon = first_requests_after_gossip(silent, &payloads[0], 0.0);
+    let later = first_requests_after_gossip(silent, &payloads[0], 10_000.0);
     assert!(soon <= 4, "{soon} of 180 to a suspected server");
     assert!(later >= 10, "{later} of 180 once the gossip is old");
 }
@@ -61,10 +64,10 @@
     );
 }
 
-/// If the link to a zone is cut, connecting to each of its servers fails; two failures are enough to avoid
-/// the whole zone.
+/// If the network link to a zone is down, connecting fails for each server of the zone. After two failed
+/// connects, the balancer avoids the whole zone.
 #[test]
-fn cut_zone_is_avoided_after_two_failed_connects() {
+fn unreachable_zone_is_avoided_after_two_failed_connects() {
     let settings = Settings { max_attempts: 1, ..sparse_settings() };
     let two_zones = Topology { zone_count: 2, cell_count: 1 };
     let mut harness = Harness::with_endpoints(settings, 9, fleet_in(60, two_zones));
@@ -74,6 +77,6 @@
         _ => Outcome::Success,
     });
 
-    let over_the_cut_link: u32 = attempts.iter().skip(1).step_by(2).sum();
-    assert!(over_the_cut_link <= 10, "{over_the_cut_link} of 60 sent over the cut link");
+    let to_unreachable_zone: u32 = attempts.iter().skip(1).step_by(2).sum();
+    assert!(to_unreachable_zone <= 10, "{to_unreachable_zone} of 60 sent to the unreachable zone");
 }
--- a/crates/balancer-core/tests/wait_queue.rs
+++ b/crates/balancer-core/tests/wait_queue.rs
@@ -1,11 +1,12 @@
-//! Tests of the wait queue: under overload, a queued request is sent while its answer can be in time, or
-//! rejected early.
+//! Tests of the wait queue: during an overload, a queued request is sent while its response can still be in
+//! time, and is rejected early otherwise.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
+/// Returns a harness with one idempotent class and this number of servers.
 fn harness(server_count: u32) -> Harness {
     Harness::with_endpoints(six_attempt_settings(), 1, fleet(server_count))
 }
@@ -16,7 +17,7 @@
     queued: Vec<RequestId>,
 }
 
-/// Submits one request per millisecond.
+/// Submits `request_count` requests, one per millisecond.
 fn submit_requests(harness: &mut Harness, request_count: u32) -> SubmittedRequests {
     let mut submitted = SubmittedRequests { sent: Vec::new(), queued: Vec::new() };
     for _ in 0..request_count {
@@ -28,7 +29,7 @@
     submitted
 }
 
-/// In the order of arrival, every queued request would be late.
+/// If queued requests were sent in the order of arrival, the response to each of them would be late.
 #[test]
 fn queued_requests_are_sent_newest_first() {
     let mut harness = harness(1);
@@ -60,5 +61,5 @@
     }
 
     assert_eq!(rejection_count, queued_count);
-    assert!(harness.now.since(start) < objective, "in time for the client's next try");
+    assert!(harness.now.since(start) < objective, "in time for the client's retry");
 }
