--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -219,8 +219,9 @@
     assert!(quick * 3 > before, "{quick} sent after quick responses, {before} before");
 }
 
-/// A concurrency limit below one is enforced by a delay after each attempt. If the delay were fixed when the
-/// attempt ends, servers could be left without a request for up to 47 s after an overload.
+/// A concurrency limit below one is enforced by a delay after each attempt, which follows from the present
+/// limit. If the delay were fixed when the attempt ends, servers could be left without a request for up to
+/// 47 s after an overload.
 #[test]
 fn late_response_at_low_admission_leaves_no_server_unused_after_recovery() {
     let mut harness = Harness::with_endpoints(twenty_balancer_settings(), 1, fleet(2));
--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -59,7 +59,7 @@
 
     let sent_count = harness.submit_burst(20).len();
 
-    assert!((2..=3).contains(&sent_count), "{sent_count} sent at once, after two at a time");
+    assert!((2..=3).contains(&sent_count), "{sent_count} sent at once, but only two were in flight before");
 }
 
 /// A fleet of full servers, which reject every attempt.
--- a/crates/balancer-core/tests/retry_permissions.rs
+++ b/crates/balancer-core/tests/retry_permissions.rs
@@ -127,8 +127,8 @@
     }
 }
 
-/// The zone of a retry is not that of the first attempt, which did not run, nor that of the last attempt. The
-/// second attempt determines the zone.
+/// Retries are restricted to the zone of the first attempt that may have run. Neither the attempts before it,
+/// which did not run, nor the attempts after it determine the zone.
 #[test]
 fn deduplication_scope_is_that_of_the_first_attempt_that_may_have_run() {
     let effect = deduplicated(DedupScope::Zone, 400.0);
@@ -170,7 +170,7 @@
     harness.assert_no_violations();
 }
 
-/// The limit on the time at which an attempt that is sent may be written.
+/// The time limit for writing an attempt to its connection.
 #[derive(Debug, PartialEq)]
 struct WriteLimit {
     /// The time by which the attempt must be written; `None` if there is no limit.
@@ -202,7 +202,7 @@
         harness.end_attempt(request.id, FIRST_ATTEMPT, Outcome::ConnectFailed, 20.0);
         let second_sent_at = harness.now;
         let unlimited = Some(WriteLimit { write_by: None });
-        assert_eq!(write_limit_of_first_send(&harness.actions), unlimited, "the first attempt never ran");
+        assert_eq!(write_limit_of_first_send(&harness.actions), unlimited, "the first attempt did not run");
 
         harness.advance_ms(elapsed_ms);
         harness.end_attempt(request.id, SECOND_ATTEMPT, Outcome::ConnectionReset, elapsed_ms);
--- a/crates/balancer-core/tests/rule_checker.rs
+++ b/crates/balancer-core/tests/rule_checker.rs
@@ -21,12 +21,12 @@
     checker
 }
 
-/// Returns the arrival of a request of class 0.
+/// Returns the event for the arrival of a request of class 0.
 fn request_event(id: RequestId) -> Event {
     Event::Request(Request::new(id, ClassId(0), CLASS_TIMEOUT))
 }
 
-/// Returns the change of one entry of the endpoint list.
+/// Returns the event for a change of one entry of the endpoint list.
 fn endpoint_changed(endpoint: Endpoint) -> Event {
     Event::Endpoints(EndpointUpdate::Changes(vec![endpoint]))
 }
@@ -40,7 +40,7 @@
     Action::Send { request, server, timeout_at, write_by: None }
 }
 
-/// Returns the end of an attempt of [`REQUEST`] that does not finish the request.
+/// Returns the event for the end of an attempt of [`REQUEST`] that does not finish the request.
 fn attempt_ended(outcome: Outcome, attempt: AttemptNumber) -> Event {
     Event::AttemptEnded {
         request: REQUEST,
--- a/crates/balancer-core/tests/shedding.rs
+++ b/crates/balancer-core/tests/shedding.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// The numbers of requests of a group that were submitted, and that succeeded.
+/// How many requests of a group were submitted, and how many of them were served.
 #[derive(Debug, Default)]
 struct Tally {
     submitted: u32,
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -9,6 +9,7 @@
 /// The latency of every attempt.
 const LATENCY_MS: f64 = 20.0;
 
+/// Returns settings of one of three balancers, with which servers take up to ten seconds to warm up.
 fn settings() -> Settings {
     Settings {
         initial_capacity: 0.2,
@@ -98,7 +99,7 @@
     let warm_average = f64::from(at_first.total - warming_up) / 5.0;
     assert!(
         f64::from(warming_up) <= 0.5 * warm_average,
-        "{warming_up} sent to the server, {warm_average} to a warm one"
+        "{warming_up} sent to the server that is warming up, {warm_average} to a warm one"
     );
     assert!(warming_up >= 1, "the server is sent some requests");
     let average = f64::from(once_warm.total) / 6.0;
@@ -137,7 +138,8 @@
     }
 }
 
-/// A fleet that is warming up must not be sent all requests that arrive before it has responded to some.
+/// Until its servers have responded to requests, a fleet that is warming up must not be sent all requests
+/// that arrive.
 #[test]
 fn fleet_that_is_all_warming_up_is_sent_few_requests_before_it_responds() {
     let mut harness = Harness::new(settings(), 4);
--- a/crates/balancer-core/tests/sparse_slow_start.rs
+++ b/crates/balancer-core/tests/sparse_slow_start.rs
@@ -93,8 +93,9 @@
 }
 
 /// Servers that are warming up are sent more than their guaranteed capacity share if they respond faster than
-/// warm servers, up to half of the load that makes them fail. Otherwise the slower warm servers would be sent
-/// the rest. Servers that are warming up and respond more slowly are sent no more than their share.
+/// warm servers, up to half of the load that makes them fail. Without this increase, the slower warm servers
+/// would be sent the other requests. Servers that are warming up and respond more slowly are sent no more
+/// than their share.
 #[test]
 fn warming_up_servers_faster_than_warm_ones_get_more() {
     let ratio_if_faster = warming_up_request_ratio(60.0, 40.0);
--- a/crates/balancer-core/tests/sparse_view.rs
+++ b/crates/balancer-core/tests/sparse_view.rs
@@ -23,8 +23,8 @@
     assert!((2.3..3.7).contains(&ratio), "large servers were sent {ratio:.2} times as many requests");
 }
 
-/// Machines of equal weight can differ in speed. The common latency of all servers of a machine kind shows
-/// the difference sooner than the latency of a single server.
+/// Machines of equal weight can differ in speed. The latency of all servers of a machine kind together
+/// shows the difference sooner than the latency of a single server.
 #[test]
 fn load_follows_the_latency_of_a_machine_kind() {
     let mut endpoints = fleet(100);
@@ -82,8 +82,8 @@
     connections
 }
 
-/// If connections to other servers were kept too, each balancer would come to keep a connection to each
-/// server. The servers would exceed their connection limits.
+/// If connections to servers that are not remembered were kept too, each balancer would come to keep a
+/// connection to each server, and the servers would exceed their connection limits.
 #[test]
 fn only_remembered_servers_keep_their_connections() {
     let mut harness = Harness::with_endpoints(sparse_settings(), 3, fleet(20));
@@ -110,8 +110,9 @@
 }
 
 /// A server that is slowed by a noisy neighbour has no more of the balancer's requests in flight than other
-/// servers. If it stayed remembered, it would be sent more requests than it has capacity for. If all servers
-/// are slow, the server must stay remembered, because every request would open a connection otherwise.
+/// servers. If the server stayed remembered, it would be sent more requests than its capacity allows. If all
+/// servers are slow, the server must stay remembered, because every request would open a connection
+/// otherwise.
 #[test]
 fn relatively_slow_server_is_not_remembered() {
     const SLOW_SERVER: ServerId = ServerId(3);
--- a/crates/balancer-core/tests/wait_queue.rs
+++ b/crates/balancer-core/tests/wait_queue.rs
@@ -38,7 +38,7 @@
 
     harness.succeed(sent[0], 20.0);
 
-    let newest = *queued.last().expect("some are queued");
+    let newest = *queued.last().expect("at least one request is queued");
     assert!(harness.target_of(newest).is_some());
     assert!(harness.target_of(queued[0]).is_none());
 }
@@ -61,5 +61,5 @@
     }
 
     assert_eq!(rejection_count, queued_count);
-    assert!(harness.now.since(start) < objective, "in time for the client's retry");
+    assert!(harness.now.since(start) < objective, "the rejections come in time for the clients to retry");
 }
