--- a/crates/balancer-core/tests/common/effect_rule.rs
+++ b/crates/balancer-core/tests/common/effect_rule.rs
@@ -1,4 +1,5 @@
-//! What may follow an attempt that may have run, by the effect of its request's class.
+//! The retries and final responses that are allowed after an attempt that may have run. They depend on the
+//! effect of the request's class.
 
 use super::observed_request::{ObservedAttempt, ObservedRequest};
 use balancer_core::{CellId, DedupScope, Effect, Endpoint, Time, ZoneId};
@@ -6,14 +7,18 @@
 /// The servers that a request may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AllowedTargets {
+    /// All servers of the fleet.
     All,
+    /// No server.
     None,
+    /// The servers of one zone.
     Zone(ZoneId),
+    /// The servers of one cell.
     Cell(CellId),
 }
 
 impl AllowedTargets {
-    /// The servers that a request of this effect may be sent to now, given its attempts so far.
+    /// Returns the servers that a request with this effect may be sent to now, after its previous attempts.
     pub fn of(request: &ObservedRequest, effect: Effect, now: Time) -> Self {
         let Some(attempt) = request.first_attempt_that_may_have_run() else { return AllowedTargets::All };
         match effect {
@@ -30,7 +35,7 @@
         }
     }
 
-    /// The servers that deduplicate a request that may have run in `attempt`.
+    /// Returns the servers that would recognise another attempt of the same request as a retry of `attempt`.
     fn within(scope: DedupScope, attempt: &ObservedAttempt) -> Self {
         match scope {
             DedupScope::Fleet => AllowedTargets::All,
@@ -39,7 +44,7 @@
         }
     }
 
-    /// Whether a server is outside the zone or cell that the request is restricted to.
+    /// Returns whether a server is outside the zone or cell that the request is restricted to.
     pub fn is_outside_scope(self, endpoint: &Endpoint) -> bool {
         match self {
             AllowedTargets::All | AllowedTargets::None => false,
@@ -49,7 +54,8 @@
     }
 }
 
-/// Whether a request of this effect may be rejected, which tells its client that a retry is harmless.
+/// Returns whether a request with this effect may be rejected. The client of a rejected request may retry it,
+/// and the retry must not duplicate the effect.
 pub fn may_reject(request: &ObservedRequest, effect: Effect) -> bool {
     let may_have_run = request.first_attempt_that_may_have_run().is_some();
     match effect {
--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -1,4 +1,5 @@
-//! A harness around a balancer: a clock that the test advances, timers that fire, and a rule checker.
+//! A harness that runs a balancer on a simulated clock, fires its timers and checks its actions against the
+//! rules.
 
 use super::actions::find_target;
 use super::fixtures::FIRST_ATTEMPT;
@@ -9,79 +10,94 @@
 };
 use std::collections::BTreeSet;
 
-/// The clock at the start of a test: late enough that every server started long ago.
-const START: Time = Time::from_millis(50_000);
+/// The time on the clock when a test starts. It is late enough for servers to have started long before.
+const START_TIME: Time = Time::from_millis(50_000);
 
 /// A request that was submitted to the balancer.
 #[derive(Debug, Clone, Copy)]
 pub struct SubmittedRequest {
+    /// The id of the request.
     pub id: RequestId,
-    /// The server that it was sent to immediately; `None` if it was not.
+    /// The server that the request was sent to immediately; `None` if it was not sent immediately.
     pub server: Option<ServerId>,
 }
 
 impl SubmittedRequest {
-    /// Whether it was sent immediately.
+    /// Returns whether the request was sent immediately.
     pub fn is_sent(&self) -> bool {
         self.server.is_some()
     }
 
-    /// The server that it was sent to; panics if it was not sent immediately.
+    /// Returns the server that the request was sent to.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the request was not sent immediately.
     pub fn expect_sent(&self) -> ServerId {
-        self.server.expect("the request was sent immediately")
+        self.server.expect("the request should have been sent immediately")
     }
 }
 
-/// Requests that fill all servers.
+/// The requests that [`Harness::fill_servers`] submitted.
 #[derive(Debug)]
 pub struct FilledServers {
+    /// The requests that were sent immediately.
     pub sent: Vec<RequestId>,
     /// The first request that was not sent immediately.
     pub unsent: RequestId,
 }
 
-/// How a server responds to an attempt.
+/// How and when an attempt ends.
 #[derive(Debug, Clone, Copy)]
 pub struct Response {
+    /// How the attempt ends.
     pub outcome: Outcome,
+    /// The time from the start to the end of the attempt.
     pub elapsed_ms: f64,
 }
 
 impl Response {
+    /// Creates a successful response that takes `elapsed_ms`.
     pub fn success(elapsed_ms: f64) -> Self {
         Response { outcome: Outcome::Success, elapsed_ms }
     }
 }
 
-/// Requests that are sent one after the other.
+/// Requests that are submitted one after the other.
 #[derive(Debug, Clone, Copy)]
 pub struct SequentialLoad {
+    /// The number of requests.
     pub request_count: u32,
-    /// The time between the end of one request and the next request.
+    /// The time from the end of one request to the next request.
     pub pause_ms: f64,
 }
 
-/// A balancer with its clock, its timers and its rule checker.
+/// A balancer with a simulated clock, the balancer's timers and a rule checker.
 pub struct Harness {
+    /// The balancer under test.
     pub balancer: Balancer,
+    /// The checker that has observed all events and actions of the balancer.
     pub rule_checker: RuleChecker,
+    /// The time on the simulated clock.
     pub now: Time,
     /// The actions that the balancer returned for the last event.
     pub actions: Vec<Action>,
     settings: Settings,
+    /// The timers that are not due yet, with the times at which they are due.
     timers: BTreeSet<(Time, TimerId)>,
+    /// The id of the next request that is submitted.
     next_request: u64,
-    /// The length of the longest endpoint list so far. The servers of a test are numbered from 0.
+    /// The largest number of endpoints in a list so far. The servers of a test are numbered from 0.
     server_count: usize,
 }
 
 impl Harness {
-    /// A harness whose balancer has been started and knows no endpoints.
+    /// Creates a harness whose balancer has been started and has received no endpoint list.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut harness = Harness {
-            balancer: Balancer::new(settings.clone(), seed).expect("usable settings"),
+            balancer: Balancer::new(settings.clone(), seed).expect("the settings should be valid"),
             rule_checker: RuleChecker::new(&settings),
-            now: START,
+            now: START_TIME,
             actions: Vec::new(),
             settings,
             timers: BTreeSet::new(),
@@ -94,14 +110,14 @@
         harness
     }
 
-    /// A harness whose balancer knows these endpoints.
+    /// Creates a harness whose balancer has received these endpoints.
     pub fn with_endpoints(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let mut harness = Harness::new(settings, seed);
         harness.set_endpoints(endpoints);
         harness
     }
 
-    /// Checks the actions, sets their timers and keeps them for the test.
+    /// Checks the actions against the rules, sets their timers and stores them in `actions`.
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in &actions {
             self.rule_checker.check_action(self.now, action);
@@ -112,7 +128,7 @@
         self.actions = actions;
     }
 
-    /// Passes an event to the balancer and returns its actions.
+    /// Passes an event to the balancer and returns the balancer's actions.
     pub fn handle(&mut self, event: Event) -> &[Action] {
         self.rule_checker.observe_event(self.now, &event);
         let mut actions = Vec::new();
@@ -121,7 +137,7 @@
         &self.actions
     }
 
-    /// Advances the clock, firing timers as they become due; returns the actions of all these timers.
+    /// Advances the clock and fires the timers that become due. Returns the actions of all these timers.
     pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -134,7 +150,7 @@
         actions
     }
 
-    /// Advances the clock by milliseconds.
+    /// Advances the clock by `ms` milliseconds; see [`advance`](Self::advance).
     pub fn advance_ms(&mut self, ms: f64) -> Vec<Action> {
         self.advance(Span::from_millis_f64(ms))
     }
@@ -155,7 +171,7 @@
         self.submit_request_of(ClassId(0))
     }
 
-    /// Submits a new request of a class, whose client waits for the class's timeout.
+    /// Submits a new request of a class. The time left until its deadline is the timeout of the class.
     pub fn submit_request_of(&mut self, class: ClassId) -> SubmittedRequest {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -164,13 +180,13 @@
         SubmittedRequest { id, server: self.target_of(id) }
     }
 
-    /// Submits requests of class 0 at one moment; returns those that were sent immediately.
+    /// Submits requests of class 0 at the same time and returns those that were sent immediately.
     pub fn submit_burst(&mut self, request_count: usize) -> Vec<SubmittedRequest> {
         let requests = (0..request_count).map(|_| self.submit_request());
         requests.filter(SubmittedRequest::is_sent).collect()
     }
 
-    /// Submits requests of class 0 at one moment until one is not sent immediately.
+    /// Submits requests of class 0 at the same time until one is not sent immediately.
     pub fn fill_servers(&mut self) -> FilledServers {
         let mut sent = Vec::new();
         loop {
@@ -182,7 +198,8 @@
         }
     }
 
-    /// Submits a request of class 0, which succeeds if it is sent within `elapsed_ms`; returns its server.
+    /// Submits a request of class 0 and ends its first attempt with success, if it is sent within
+    /// `elapsed_ms`. Returns the server that it was sent to.
     pub fn submit_and_succeed(&mut self, elapsed_ms: f64) -> Option<ServerId> {
         let request = self.submit_request();
         let server = request.server.or(find_target(&self.advance_ms(elapsed_ms), request.id));
@@ -192,8 +209,8 @@
         server
     }
 
-    /// Sends requests of class 0 one after the other and ends each attempt as `respond` says; returns the
-    /// number of attempts at each server.
+    /// Submits requests of class 0 one after the other and ends each attempt with the response that `respond`
+    /// returns for its server. Returns the number of attempts at each server.
     pub fn serve_sequentially(
         &mut self,
         load: SequentialLoad,
@@ -217,7 +234,7 @@
         attempts_by_server
     }
 
-    /// The server that the last actions send a request to.
+    /// Returns the server that the balancer sent a request to when it handled the last event.
     pub fn target_of(&self, id: RequestId) -> Option<ServerId> {
         find_target(&self.actions, id)
     }
@@ -227,7 +244,7 @@
         self.end_attempt(id, FIRST_ATTEMPT, Outcome::Success, elapsed_ms)
     }
 
-    /// Ends an attempt without a load report; a success finishes its request.
+    /// Ends an attempt without a load report. A success finishes the request.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -238,7 +255,7 @@
         self.end_attempt_with_report(id, attempt, Response { outcome, elapsed_ms }, None)
     }
 
-    /// Ends an attempt; a success finishes its request.
+    /// Ends an attempt with or without a load report. A success finishes the request.
     pub fn end_attempt_with_report(
         &mut self,
         request: RequestId,
@@ -256,13 +273,14 @@
         })
     }
 
-    /// The number of requests whose final answer is overdue.
+    /// Returns the number of requests whose final response is overdue.
     pub fn lost_request_count(&self) -> usize {
         self.rule_checker.lost_request_count(self.now)
     }
 
+    /// Asserts that the balancer has violated no rule and that no request's final response is overdue.
     pub fn assert_no_violations(&self) {
         assert!(self.rule_checker.violations.is_empty(), "{:#?}", self.rule_checker.violations);
-        assert_eq!(self.lost_request_count(), 0, "requests without a final answer");
+        assert_eq!(self.lost_request_count(), 0, "requests whose final response is overdue");
     }
 }
--- a/crates/balancer-core/tests/common/mod.rs
+++ b/crates/balancer-core/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Shared by the integration tests: a harness around a balancer, a checker of its rules, and fixtures.
-#![allow(dead_code, unused_imports, reason = "each test file uses only a part of it")]
+//! Support code of the integration tests: a harness that runs a balancer, a checker of the rules that the
+//! balancer must keep, and fixtures.
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of these items")]
 
 mod actions;
 mod effect_rule;
--- a/crates/balancer-core/tests/common/observed_request.rs
+++ b/crates/balancer-core/tests/common/observed_request.rs
@@ -1,27 +1,32 @@
-//! What the rule checker knows about a request and its attempts.
+//! The state of a request and its attempts as the rule checker has observed it.
 
 use balancer_core::{CellId, Outcome, Request, Span, Time, ZoneId};
 
-/// A final answer up to this long after the client's deadline is still in time.
-const ANSWER_GRACE: Span = Span::from_millis(20);
-/// A request with this cost hint is one unit of work.
-const USUAL_COST_MS: f64 = 40.0;
+/// How long after the client's deadline a final response still counts as in time.
+const FINAL_RESPONSE_GRACE: Span = Span::from_millis(20);
+/// The cost hint of a request that counts as one unit of work.
+const TYPICAL_COST_MS: f64 = 40.0;
 
 /// An attempt that the balancer has sent.
 #[derive(Debug, Clone)]
 pub struct ObservedAttempt {
+    /// When the attempt was sent.
     pub sent_at: Time,
+    /// The zone of the server that the attempt was sent to.
     pub zone: ZoneId,
+    /// The cell of the server that the attempt was sent to.
     pub cell: CellId,
-    /// `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl ObservedAttempt {
+    /// Returns whether the attempt has not ended.
     pub fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
+    /// Returns whether the server may have run the request. An attempt in flight may have run.
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.proves_not_run())
     }
@@ -30,22 +35,26 @@
 /// A request that was submitted to the balancer.
 #[derive(Debug)]
 pub struct ObservedRequest {
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// Its work by its cost hint, in requests of the usual cost.
+    /// The work that the cost hint states, as a multiple of [`TYPICAL_COST_MS`]; 1 without a cost hint.
     pub work: f64,
+    /// The client's deadline for the final response.
     pub deadline: Time,
+    /// All attempts, by their numbers.
     pub attempts: Vec<ObservedAttempt>,
+    /// Whether the request needs no final response any more: it has had one, or its client has disconnected.
     pub is_finished: bool,
-    /// Whether its response has begun to stream, so that it can't be sent again.
+    /// Whether the response has begun to stream. After that, the request cannot be sent again.
     pub is_streaming: bool,
 }
 
 impl ObservedRequest {
+    /// Creates the state of a request that arrives at `now`.
     pub fn new(now: Time, request: &Request) -> Self {
         ObservedRequest {
             class: request.class.0,
-            work: request.cost_hint.map_or(1.0, |hint| hint.as_millis_f64() / USUAL_COST_MS),
+            work: request.cost_hint.map_or(1.0, |hint| hint.as_millis_f64() / TYPICAL_COST_MS),
             deadline: now + request.time_left,
             attempts: Vec::new(),
             is_finished: false,
@@ -53,7 +62,7 @@
         }
     }
 
-    /// Records the end of an attempt; only the first end of an attempt counts.
+    /// Records the end of an attempt. Of several ends of one attempt, only the first outcome counts.
     pub fn end_attempt(&mut self, index: usize, outcome: Outcome, is_request_finished: bool) {
         if let Some(attempt) = self.attempts.get_mut(index) {
             attempt.outcome.get_or_insert(outcome);
@@ -61,20 +70,22 @@
         self.is_finished |= is_request_finished;
     }
 
+    /// Returns whether the request has an attempt in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(ObservedAttempt::is_in_flight)
     }
 
+    /// Returns the earliest attempt after which the request may have run.
     pub fn first_attempt_that_may_have_run(&self) -> Option<&ObservedAttempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Whether it is too late for a final answer.
+    /// Returns whether it is too late for a final response.
     pub fn is_overdue(&self, now: Time) -> bool {
-        now > self.deadline + ANSWER_GRACE
+        now > self.deadline + FINAL_RESPONSE_GRACE
     }
 
-    /// Whether it has no final answer and it is too late for one.
+    /// Returns whether the request has had no final response and it is too late for one.
     pub fn is_lost(&self, now: Time) -> bool {
         !self.is_finished && !self.is_streaming && self.is_overdue(now)
     }
--- a/crates/balancer-core/tests/common/rule.rs
+++ b/crates/balancer-core/tests/common/rule.rs
@@ -1,40 +1,47 @@
-//! The rules that a balancer must keep.
+//! The rules that a balancer must keep, and their violations.
 
 use balancer_core::Time;
 
 /// A rule that an action can violate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// Requests are sent only to servers of the endpoint list.
+    /// A request is sent only to a server that has been in the endpoint list.
     KnownServer,
-    /// Only submitted requests are sent or ended.
+    /// Only requests that have been submitted are sent, rejected or failed.
     KnownRequest,
+    /// A request is not sent after it is finished.
     NoSendAfterTheEnd,
-    /// A request whose response has begun to stream is not sent again.
+    /// A request is not sent again after its response has begun to stream.
     NoSendWhileStreaming,
+    /// A request has no more attempts than the settings allow.
     MaxAttempts,
+    /// A request has at most one attempt in flight, unless the settings allow hedged requests.
     NoHedgingUnlessAllowed,
-    NoSendPastTheDeadline,
-    /// A request that may have run is not sent again, unless its effect permits it.
+    /// No attempt is sent after the client's deadline, and no attempt times out after it.
+    NoSendPastDeadline,
+    /// A request that may have run is not sent again, unless its effect allows that.
     NoRetryAfterItMayHaveRun,
-    /// A request that may have run is sent only to servers that deduplicate it.
+    /// A request that may have run is sent again only to servers that recognise it as a retry.
     RetryWithinDeduplicationScope,
-    /// Nothing is sent to a server that is draining or removed.
+    /// No attempt is sent to a server that has been draining or removed for longer than the drain grace.
     NoSendToDrainingServer,
-    /// A request that may have run is not rejected, unless its effect permits it.
+    /// A request that may have run is not rejected, unless its effect allows that.
     NoRejectionAfterItMayHaveRun,
-    /// A request has one final answer.
+    /// A request gets only one final response.
     OneEnd,
-    /// A request has its final answer by its client's deadline.
+    /// A request gets its final response by its client's deadline.
     EndInTime,
-    /// A server in slow start is sent at most its share.
+    /// A server that is warming up is not sent so much work that it would fail.
     SlowStart,
 }
 
-/// A violation of a rule.
+/// An action that violated a rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
+    /// The time of the action.
     pub at: Time,
+    /// The violated rule.
     pub rule: Rule,
+    /// A description of the action.
     pub details: String,
 }
--- a/crates/balancer-core/tests/common/rule_checker.rs
+++ b/crates/balancer-core/tests/common/rule_checker.rs
@@ -1,5 +1,6 @@
-//! Checks that a balancer keeps its four rules, without knowing how it decides: one final answer in time, no
-//! duplicate effect, nothing sent to draining servers, and slow start.
+//! Checks a balancer's actions against the rules of [`Rule`], independently of how the balancer decides. The
+//! rules require that each request gets one final response in time, that no effect is duplicated, that
+//! draining servers are sent nothing, and that servers that are warming up are not overloaded.
 
 use super::effect_rule::{may_reject, AllowedTargets};
 use super::observed_fleet::ObservedFleet;
@@ -9,15 +10,16 @@
 use balancer_core::{Action, Effect, Endpoint, EndpointUpdate, Event, RequestId, ServerId, Settings, Time};
 use std::collections::BTreeMap;
 
-/// An action that sends an attempt.
+/// The contents of [`Action::Send`].
 struct SentAttempt {
     request: RequestId,
     server: ServerId,
     timeout_at: Time,
 }
 
-/// Observes events and actions and records every violation of a rule.
+/// Observes the events and actions of a balancer and records all violations of rules.
 pub struct RuleChecker {
+    /// All violations so far.
     pub violations: Vec<Violation>,
     settings: Settings,
     requests: BTreeMap<RequestId, ObservedRequest>,
@@ -26,6 +28,7 @@
 }
 
 impl RuleChecker {
+    /// Creates a checker that has observed no events.
     pub fn new(settings: &Settings) -> Self {
         RuleChecker {
             violations: Vec::new(),
@@ -36,7 +39,7 @@
         }
     }
 
-    /// Records an event, before the balancer handles it.
+    /// Records an event. Call this before the balancer handles the event.
     pub fn observe_event(&mut self, now: Time, event: &Event) {
         match event {
             Event::Request(request) => {
@@ -62,9 +65,10 @@
         }
     }
 
+    /// Applies an update of the endpoint list.
     fn update_endpoints(&mut self, now: Time, update: &EndpointUpdate) {
         for server in self.fleet.update(now, update) {
-            self.slow_start.forget(server);
+            self.slow_start.remove_work_before_restart(server);
         }
     }
 
@@ -76,34 +80,37 @@
             }
             Action::Reject { request, .. } => {
                 self.check_rejection(now, request);
-                self.check_end(now, request);
+                self.check_final_response(now, request);
             }
-            Action::Fail { request } => self.check_end(now, request),
+            Action::Fail { request } => self.check_final_response(now, request),
             _ => {}
         }
     }
 
-    fn report(&mut self, at: Time, rule: Rule, details: String) {
+    /// Records a violation.
+    fn report_violation(&mut self, at: Time, rule: Rule, details: String) {
         self.violations.push(Violation { at, rule, details });
     }
 
+    /// Checks an action that sends an attempt, and records the attempt.
     fn check_send(&mut self, now: Time, sent: &SentAttempt) {
         let Some(endpoint) = self.fleet.get(sent.server).cloned() else {
-            self.report(now, Rule::KnownServer, format!("sent to {:?}", sent.server));
+            self.report_violation(now, Rule::KnownServer, format!("sent to {:?}", sent.server));
             return;
         };
         let Some(request) = self.requests.get(&sent.request) else {
-            self.report(now, Rule::KnownRequest, format!("sent {:?}", sent.request));
+            self.report_violation(now, Rule::KnownRequest, format!("sent {:?}", sent.request));
             return;
         };
-        for rule in self.rules_violated_by(now, sent, request, &endpoint) {
-            self.report(now, rule, format!("{:?} sent to {:?}", sent.request, sent.server));
+        for rule in self.find_violated_rules(now, sent, request, &endpoint) {
+            self.report_violation(now, rule, format!("{:?} sent to {:?}", sent.request, sent.server));
         }
         self.record_attempt(now, sent.request, &endpoint);
         self.check_slow_start(now, sent.request, &endpoint);
     }
 
-    fn rules_violated_by(
+    /// Returns the rules that sending this attempt violates.
+    fn find_violated_rules(
         &self,
         now: Time,
         sent: &SentAttempt,
@@ -111,52 +118,57 @@
         endpoint: &Endpoint,
     ) -> Vec<Rule> {
         let has_max_attempts = request.attempts.len() >= self.settings.max_attempts as usize;
-        let is_concurrent = request.has_attempt_in_flight() && !self.settings.allows_hedging;
+        let is_disallowed_hedge = request.has_attempt_in_flight() && !self.settings.allows_hedging;
         let is_past_deadline = now > request.deadline || sent.timeout_at > request.deadline;
-        let targets = AllowedTargets::of(request, self.effect_of(request), now);
-        let is_draining = self.fleet.has_drained_for(sent.server, self.settings.drain_grace, now);
+        let allowed_targets = AllowedTargets::of(request, self.effect_of(request), now);
+        let is_past_drain_grace = self.fleet.is_draining_beyond(sent.server, self.settings.drain_grace, now);
         let checks = [
             (request.is_finished, Rule::NoSendAfterTheEnd),
             (request.is_streaming, Rule::NoSendWhileStreaming),
             (has_max_attempts, Rule::MaxAttempts),
-            (is_concurrent, Rule::NoHedgingUnlessAllowed),
-            (is_past_deadline, Rule::NoSendPastTheDeadline),
-            (targets == AllowedTargets::None, Rule::NoRetryAfterItMayHaveRun),
-            (targets.is_outside_scope(endpoint), Rule::RetryWithinDeduplicationScope),
-            (is_draining, Rule::NoSendToDrainingServer),
+            (is_disallowed_hedge, Rule::NoHedgingUnlessAllowed),
+            (is_past_deadline, Rule::NoSendPastDeadline),
+            (allowed_targets == AllowedTargets::None, Rule::NoRetryAfterItMayHaveRun),
+            (allowed_targets.is_outside_scope(endpoint), Rule::RetryWithinDeduplicationScope),
+            (is_past_drain_grace, Rule::NoSendToDrainingServer),
         ];
         checks.into_iter().filter_map(|(is_violated, rule)| is_violated.then_some(rule)).collect()
     }
 
+    /// Returns the effect of a request's class.
     fn effect_of(&self, request: &ObservedRequest) -> Effect {
         self.settings.classes[request.class].effect
     }
 
+    /// Adds an attempt to its request.
     fn record_attempt(&mut self, now: Time, request: RequestId, endpoint: &Endpoint) {
         let attempt =
             ObservedAttempt { sent_at: now, zone: endpoint.zone, cell: endpoint.cell, outcome: None };
-        self.requests.get_mut(&request).expect("the request is known").attempts.push(attempt);
+        self.requests.get_mut(&request).expect("the request should be known").attempts.push(attempt);
     }
 
+    /// Checks that an attempt does not overload a server that is warming up.
     fn check_slow_start(&mut self, now: Time, request: RequestId, endpoint: &Endpoint) {
         let work = self.requests[&request].work;
         if let Some(overload) = self.slow_start.record(now, endpoint, work, &self.fleet) {
             let details = format!(
-                "{:?}: {} where a warm one has {:.1}",
-                endpoint.server, overload.sent_work, overload.warm_average
+                "{:?} was sent {} units of work, warm servers {:.1} on average",
+                endpoint.server, overload.sent_work, overload.mean_warm_work
             );
-            self.report(now, Rule::SlowStart, details);
+            self.report_violation(now, Rule::SlowStart, details);
         }
     }
 
+    /// Checks that the rejection of a request is allowed.
     fn check_rejection(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if !may_reject(request, self.effect_of(request)) {
-            self.report(now, Rule::NoRejectionAfterItMayHaveRun, format!("{id:?}"));
+            self.report_violation(now, Rule::NoRejectionAfterItMayHaveRun, format!("{id:?} rejected"));
         }
     }
 
-    fn check_end(&mut self, now: Time, request: RequestId) {
+    /// Checks the final response to a request, and records that the request is finished.
+    fn check_final_response(&mut self, now: Time, request: RequestId) {
         let violated = match self.requests.get_mut(&request) {
             None => Some(Rule::KnownRequest),
             Some(observed) if observed.is_finished => Some(Rule::OneEnd),
@@ -166,11 +178,11 @@
             }
         };
         if let Some(rule) = violated {
-            self.report(now, rule, format!("{request:?} ended"));
+            self.report_violation(now, rule, format!("final response to {request:?}"));
         }
     }
 
-    /// The number of requests whose final answer is overdue.
+    /// Returns the number of requests whose final response is overdue.
     pub fn lost_request_count(&self, now: Time) -> usize {
         self.requests.values().filter(|request| request.is_lost(now)).count()
     }
