--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -95,7 +95,7 @@
     /// Creates a harness whose balancer has been started and has received no endpoint list.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut harness = Harness {
-            balancer: Balancer::new(settings.clone(), seed).expect("the settings should be valid"),
+            balancer: Balancer::new(settings.clone(), seed).expect("valid settings"),
             rule_checker: RuleChecker::new(&settings),
             now: START_TIME,
             actions: Vec::new(),
--- a/crates/balancer-core/tests/recorded_actions/action_recorder.rs
+++ b/crates/balancer-core/tests/recorded_actions/action_recorder.rs
@@ -1,16 +1,17 @@
-//! Records a sequence of actions as a digest.
+//! Records a sequence of actions as a digest and counts the actions by kind.
 
 use balancer_core::{Action, Notice, Span, Time};
 use fnv::FnvHasher;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Recorded for a value that is absent.
-const NONE: u64 = u64::MAX;
-/// Recorded for an action without contents.
+/// The encoding of an absent value.
+const ABSENT: u64 = u64::MAX;
+/// The encoding of the contents of an action that has no contents.
 const NO_CONTENTS: u64 = 1;
 
-/// A kind of action. Its number is part of the digests; number 9 belonged to a kind that no longer exists.
+/// A kind of action. The numbers of the kinds are part of the digests and must not change. Number 9 belonged
+/// to a kind that no longer exists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ActionKind {
     Send = 0,
@@ -26,6 +27,7 @@
 }
 
 impl ActionKind {
+    /// All kinds of action.
     pub const ALL: [ActionKind; 10] = [
         ActionKind::Send,
         ActionKind::Cancel,
@@ -39,6 +41,7 @@
         ActionKind::Notify,
     ];
 
+    /// Returns the kind of an action.
     pub fn of(action: &Action) -> Self {
         match action {
             Action::Send { .. } => ActionKind::Send,
@@ -63,7 +66,7 @@
 }
 
 impl ActionRecorder {
-    /// Adds an action to the digest.
+    /// Adds an action that the balancer returned at `now` to the digest and to the counts.
     pub fn record(&mut self, now: Time, action: &Action) {
         let kind = ActionKind::of(action);
         *self.counts.entry(kind).or_default() += 1;
@@ -74,31 +77,33 @@
         }
     }
 
+    /// Returns the digest of all recorded actions.
     pub fn digest(&self) -> u64 {
         self.hasher.finish()
     }
 
+    /// Returns the number of recorded actions of a kind.
     pub fn count(&self, kind: ActionKind) -> u64 {
         self.counts.get(&kind).copied().unwrap_or_default()
     }
 }
 
-/// The contents of an action as numbers.
+/// Encodes the contents of an action as 64-bit words.
 fn encode_contents(action: &Action) -> Vec<u64> {
     match action {
         Action::Send { request, server, timeout_at, write_by } => {
-            let write_by = write_by.map_or(NONE, Time::as_micros);
+            let write_by = write_by.map_or(ABSENT, Time::as_micros);
             vec![request.0, server.0.into(), timeout_at.as_micros(), write_by]
         }
         Action::Cancel { request, attempt } => vec![request.0, attempt.0.into()],
         Action::Reject { request, retry_after } => {
-            vec![request.0, retry_after.map_or(NONE, Span::as_micros)]
+            vec![request.0, retry_after.map_or(ABSENT, Span::as_micros)]
         }
         Action::Fail { request } => vec![request.0],
         Action::SetTimer { at, timer } => vec![at.as_micros(), timer.number()],
         Action::CheckHealth { server } | Action::CloseIdle { server } => vec![server.0.into()],
         Action::Gossip { to, payload } => {
-            let mut contents = vec![to.map_or(NONE, |peer| peer.0.into())];
+            let mut contents = vec![to.map_or(ABSENT, |peer| peer.0.into())];
             contents.extend(payload.iter().map(|byte| u64::from(*byte)));
             contents
         }
@@ -107,17 +112,17 @@
     }
 }
 
-/// The contents of a notice as numbers. Ratios are rounded to two decimals, as the digests were recorded when
-/// the balancer formatted its log lines itself.
+/// Encodes the contents of a notice as 64-bit words. Ratios are rounded to two decimals, because the digests
+/// were recorded when the balancer formatted its log lines itself, with two decimals.
 fn encode_notice(notice: &Notice) -> Vec<u64> {
     let Notice::ServerEjected { server, latency_ratio, fleet_median, .. } = notice else {
-        panic!("a notice of an unknown kind: {notice:?}");
+        panic!("unknown kind of notice: {notice:?}");
     };
     let ratios = [latency_ratio, fleet_median].map(|ratio| round_to_two_decimals(ratio.value()));
     [f64::from(server.0), ratios[0], ratios[1]].map(f64::to_bits).to_vec()
 }
 
-/// Rounds as the formatting of log lines does.
+/// Rounds a value in the same way as the formatting of log lines does.
 fn round_to_two_decimals(value: f64) -> f64 {
-    format!("{value:.2}").parse().expect("a number")
+    format!("{value:.2}").parse().expect("a formatted number should parse")
 }
--- a/crates/balancer-core/tests/recorded_actions/scenarios/few_balancers.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios/few_balancers.rs
@@ -1,4 +1,5 @@
-//! Scenarios of deployments with few balancers, in which each sees much of the traffic of every server.
+//! Scenarios of deployments with few balancers, in which each balancer sends a large fraction of the requests
+//! of every server.
 
 use super::super::common::{class, deduplicated};
 use super::{all_effects, scenario, tenants, InitialFleet, Scenario};
@@ -7,7 +8,7 @@
     ValueBasis,
 };
 
-/// Settings of one of four balancers.
+/// Creates the settings of one of four balancers.
 pub fn small_deployment() -> Settings {
     Settings {
         balancer_count: 4,
@@ -25,12 +26,14 @@
     }
 }
 
+/// Endpoint updates arrive without a request by the balancer, and hedged requests are allowed.
 pub fn few_balancers_pushed() -> Scenario {
     let settings = Settings { allows_hedging: true, ..small_deployment() };
     scenario(11, settings)
 }
 
-pub fn few_balancers_polling() -> Scenario {
+/// Endpoint updates arrive only after a request by the balancer, and responses carry load reports.
+pub fn few_balancers_on_request() -> Scenario {
     let costs = Costs { cross_zone: 0.02, ..Costs::default() };
     let settings = Settings {
         discovery_mode: DiscoveryMode::OnRequest,
@@ -42,12 +45,14 @@
     Scenario { server_count: 12, mean_fault_gap_ms: 250.0, ..scenario(12, settings) }
 }
 
-pub fn costly_zones_and_few_servers() -> Scenario {
+/// Attempts to other zones are costly, a request has at most two attempts, and attempts cannot be cancelled.
+pub fn costly_cross_zone_attempts() -> Scenario {
     let costs = Costs { cross_zone: 0.05, ..Costs::default() };
     let settings = Settings { costs, allows_cancel: false, max_attempts: 2, ..small_deployment() };
     Scenario { server_count: 4, mean_arrival_gap_ms: 3.0, ..scenario(13, settings) }
 }
 
+/// Requests carry more different routing keys than the balancer can remember.
 pub fn routing_keys() -> Scenario {
     let settings = Settings {
         has_key_affinity: true,
@@ -64,6 +69,7 @@
     }
 }
 
+/// Most requests come from the first tenant, which exceeds its share of the capacity.
 pub fn tenants_over_their_share() -> Scenario {
     let settings = Settings {
         tenants: tenants(),
@@ -75,7 +81,8 @@
     Scenario { server_count: 5, mean_arrival_gap_ms: 4.0, ..scenario(15, settings) }
 }
 
-pub fn burst_on_a_tiny_fleet() -> Scenario {
+/// A fleet of two servers is sent many requests.
+pub fn high_load_on_two_servers() -> Scenario {
     let settings = Settings { balancer_count: 2, ..small_deployment() };
     Scenario {
         server_count: 2,
@@ -86,7 +93,8 @@
     }
 }
 
-pub fn long_lived_fleet() -> Scenario {
+/// Requests with routing keys arrive at a low rate for several minutes.
+pub fn few_balancers_long_run() -> Scenario {
     let settings = Settings { has_key_affinity: true, ..small_deployment() };
     Scenario {
         request_count: 5000,
@@ -97,7 +105,8 @@
     }
 }
 
-pub fn burst_over_the_queue() -> Scenario {
+/// While all servers are draining, more requests arrive than the balancer can queue.
+pub fn burst_beyond_queue_capacity() -> Scenario {
     Scenario {
         server_count: 3,
         request_count: 3000,
--- a/crates/balancer-core/tests/recorded_actions/scenarios/many_balancers.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios/many_balancers.rs
@@ -1,10 +1,11 @@
-//! Scenarios of deployments with many balancers, in which each sees little of the traffic of any server.
+//! Scenarios of deployments with many balancers, in which each balancer sends a small fraction of the requests
+//! of any server.
 
 use super::few_balancers::small_deployment;
 use super::{scenario, tenants, InitialFleet, Scenario};
 use balancer_core::{Costs, DiscoveryMode, EndpointWeights, LoadReportField, LoadReportSource, Settings};
 
-/// Settings of one of three hundred balancers.
+/// Creates the settings of one of three hundred balancers.
 fn large_deployment() -> Settings {
     let costs = Costs { cross_zone: 0.01, handshake: 0.08, wasted_work: 0.3, ..Costs::default() };
     Settings {
@@ -16,6 +17,7 @@
     }
 }
 
+/// Endpoint updates arrive without a request by the balancer, and responses carry load reports.
 pub fn many_balancers_pushed() -> Scenario {
     let settings = Settings {
         load_report_source: LoadReportSource::Responses,
@@ -30,17 +32,19 @@
     }
 }
 
-pub fn many_balancers_polling() -> Scenario {
+/// Endpoint updates arrive only after a request by the balancer. Requests belong to tenants.
+pub fn many_balancers_on_request() -> Scenario {
     let settings =
         Settings { discovery_mode: DiscoveryMode::OnRequest, tenants: tenants(), ..large_deployment() };
     Scenario { server_count: 40, machine_kind_count: 4, mean_arrival_gap_ms: 30.0, ..scenario(19, settings) }
 }
 
-/// Balancers that poll the loads of candidates at `poll_cost` per poll.
-fn many_balancers_polling_loads(poll_cost: f64, seed: u64) -> Scenario {
+/// Creates a scenario in which load reports come only with health checks, each of which costs
+/// `health_check_cost`.
+fn many_balancers_polling_loads(health_check_cost: f64, seed: u64) -> Scenario {
     let base = large_deployment();
     let settings = Settings {
-        costs: Costs { health_check: poll_cost, ..base.costs.clone() },
+        costs: Costs { health_check: health_check_cost, ..base.costs.clone() },
         allows_health_checks: true,
         load_report_source: LoadReportSource::HealthChecks,
         load_report_fields: vec![LoadReportField::InFlight, LoadReportField::ServiceTime],
@@ -54,14 +58,17 @@
     }
 }
 
+/// Health checks are just cheap enough that the balancer polls the loads of candidates.
 pub fn many_balancers_cheap_polls() -> Scenario {
     many_balancers_polling_loads(0.0008, 20)
 }
 
+/// Health checks are just too costly, so that the balancer does not poll the loads of candidates.
 pub fn many_balancers_costly_polls() -> Scenario {
     many_balancers_polling_loads(0.00085, 21)
 }
 
+/// Many requests arrive at slow servers, half of which are warming up.
 pub fn many_balancers_overloaded() -> Scenario {
     let settings = Settings { allows_gossip: false, ..large_deployment() };
     Scenario {
@@ -73,7 +80,8 @@
     }
 }
 
-pub fn many_balancers_long_lived() -> Scenario {
+/// Requests arrive at a low rate for several minutes.
+pub fn many_balancers_long_run() -> Scenario {
     Scenario {
         server_count: 25,
         request_count: 5000,
@@ -83,7 +91,8 @@
     }
 }
 
-pub fn many_balancers_all_late() -> Scenario {
+/// Every response comes after the latency objective.
+pub fn many_balancers_late_responses() -> Scenario {
     Scenario {
         server_count: 25,
         mean_arrival_gap_ms: 5.0,
@@ -92,7 +101,8 @@
     }
 }
 
-pub fn many_balancers_quick_servers() -> Scenario {
+/// Servers respond within about one millisecond, and half of them are warming up.
+pub fn many_balancers_fast_servers() -> Scenario {
     Scenario {
         server_count: 30,
         request_count: 4000,
--- a/crates/balancer-core/tests/recorded_actions/simulation.rs
+++ b/crates/balancer-core/tests/recorded_actions/simulation.rs
@@ -13,27 +13,30 @@
     Outcome, PeerId, RequestId, ServerId, Span, Time,
 };
 
-/// The time until a cancelled attempt has ended.
-const CANCEL_MS: f64 = 1.0;
+/// The time from the cancellation of an attempt to its end.
+const CANCEL_DELAY_MS: f64 = 1.0;
 /// The time that a health check takes.
-const HEALTH_CHECK: Span = Span::from_millis(2);
-/// The time until an update of the endpoint list arrives.
-const DISCOVERY_MS: f64 = 5.0;
+const HEALTH_CHECK_DURATION: Span = Span::from_millis(2);
+/// The time from the publication of an update of the endpoint list to its arrival at the balancer.
+const DISCOVERY_DELAY_MS: f64 = 5.0;
 
-/// A balancer and its surroundings. Carries out the balancer's actions and passes it the events that follow.
+/// A balancer and the simulated servers, clients and discovery around it. The simulation carries out the
+/// balancer's actions and passes the resulting events to the balancer.
 pub struct Simulation {
     scenario: Scenario,
     context: Context,
     balancer: Balancer,
     fleet: Fleet,
     clients: Clients,
+    /// Whether discovery reports failures instead of updates.
     is_discovery_down: bool,
     recorder: ActionRecorder,
 }
 
 impl Simulation {
+    /// Creates a simulation and starts its balancer.
     pub fn new(scenario: Scenario) -> Self {
-        let balancer = Balancer::new(scenario.settings.clone(), scenario.seed).expect("usable settings");
+        let balancer = Balancer::new(scenario.settings.clone(), scenario.seed).expect("valid settings");
         let mut simulation = Simulation {
             context: Context::new(scenario.seed ^ 0x5eed),
             balancer,
@@ -48,6 +51,7 @@
         simulation
     }
 
+    /// Adds the servers that the scenario begins with.
     fn add_initial_fleet(&mut self) {
         let initial_fleet = self.scenario.initial_fleet;
         for number in 0..self.scenario.server_count {
@@ -60,6 +64,7 @@
         }
     }
 
+    /// Starts the balancer, passes it a cached endpoint list and schedules the first request and fault.
     fn start(&mut self) {
         let mut actions = Vec::new();
         self.balancer.start(self.context.now(), &mut actions);
@@ -69,24 +74,26 @@
         self.context.schedule_after(500.0, ScheduledEvent::Fault);
     }
 
-    /// Runs until all requests have arrived and ended; returns the recorded actions.
+    /// Runs the simulation until all requests of the scenario are finished, and returns the recorded actions.
     pub fn run(mut self) -> ActionRecorder {
         while !self.is_over() {
             let Some(event) = self.context.next_event() else { break };
-            self.handle_scheduled(event);
+            self.handle_scheduled_event(event);
         }
         self.recorder
     }
 
+    /// Returns whether all requests of the scenario have been sent and are finished.
     fn is_over(&self) -> bool {
-        self.clients.have_sent_all() && self.clients.are_all_answered()
+        self.clients.has_sent_all_requests() && self.clients.has_finished_all_requests()
     }
 
-    fn handle_scheduled(&mut self, event: ScheduledEvent) {
+    /// Simulates an event that is due now.
+    fn handle_scheduled_event(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::Arrival => self.send_next_request(),
             ScheduledEvent::Fault => self.inject_fault(),
-            ScheduledEvent::Calm => self.end_common_faults(),
+            ScheduledEvent::GlobalFaultEnd => self.end_global_faults(),
             ScheduledEvent::Recovery(server) => self.recover(server),
             ScheduledEvent::Endpoints(update) => self.handle(Event::Endpoints(update)),
             ScheduledEvent::Timer(timer) => self.handle(Event::TimerDue(timer)),
@@ -105,6 +112,7 @@
         self.carry_out(actions);
     }
 
+    /// Records the balancer's actions and simulates their effects.
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             self.recorder.record(self.context.now(), &action);
@@ -114,50 +122,55 @@
                 }
                 Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    self.clients.end_request(request);
+                    self.clients.finish_request(request);
                 }
                 Action::SetTimer { at, timer } => {
                     self.context.schedule_at(at, ScheduledEvent::Timer(timer));
                 }
                 Action::CheckHealth { server } => {
-                    let after_ms = HEALTH_CHECK.as_millis_f64();
-                    self.context.schedule_after(after_ms, ScheduledEvent::HealthCheckEnd(server));
+                    let delay_ms = HEALTH_CHECK_DURATION.as_millis_f64();
+                    self.context.schedule_after(delay_ms, ScheduledEvent::HealthCheckEnd(server));
                 }
-                Action::WatchEndpoints => self.publish_all(),
+                Action::WatchEndpoints => self.publish_complete_list(),
                 _ => {}
             }
         }
     }
 
+    /// Sends the next request of the scenario to the balancer, if there is one.
     fn send_next_request(&mut self) {
-        if self.clients.have_sent_all() {
+        if self.clients.has_sent_all_requests() {
             return;
         }
         let request = self.clients.send_request(&mut self.context);
         self.handle(Event::Request(request));
     }
 
+    /// Disconnects the client of a request, unless the request is finished.
     fn disconnect(&mut self, request: RequestId) {
         if self.clients.disconnect(request) {
             self.handle(Event::ClientDisconnected { request });
         }
     }
 
+    /// Starts to stream the response to a request, unless the request is finished or has not been sent.
     fn begin_stream(&mut self, request: RequestId) {
         if let Some(attempt) = self.clients.begin_stream(request) {
             self.handle(Event::FirstByte { request, attempt });
         }
     }
 
+    /// Starts an attempt at a server and schedules the end of the attempt.
     fn send_attempt(&mut self, request: RequestId, server: ServerId, timeout_at: Time) {
         let response = self.fleet.start_attempt(server, &mut self.context.rng);
         let sent_at = self.context.now();
         let attempt = self.clients.start_attempt(request, InFlightAttempt { server, sent_at });
-        let response = response.within(timeout_at.since(sent_at).as_millis_f64());
+        let response = response.or_timeout(timeout_at.since(sent_at).as_millis_f64());
         let end = AttemptEnd { request, attempt, server, outcome: response.outcome, sent_at };
-        self.context.schedule_after(response.after_ms, ScheduledEvent::AttemptEnd(end));
+        self.context.schedule_after(response.elapsed_ms, ScheduledEvent::AttemptEnd(end));
     }
 
+    /// Cancels an attempt, if it has not ended before.
     fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptNumber) {
         let Some(in_flight) = self.clients.in_flight_attempt(request, attempt) else { return };
         let end = AttemptEnd {
@@ -167,7 +180,7 @@
             outcome: Outcome::Cancelled,
             sent_at: in_flight.sent_at,
         };
-        self.context.schedule_after(CANCEL_MS, ScheduledEvent::AttemptEnd(end));
+        self.context.schedule_after(CANCEL_DELAY_MS, ScheduledEvent::AttemptEnd(end));
     }
 
     /// Ends an attempt, if it has not ended before.
@@ -184,37 +197,39 @@
             outcome: end.outcome,
             elapsed: self.context.now().since(end.sent_at),
             load_report,
-            is_request_finished: self.clients.has_ended(end.request),
+            is_request_finished: self.clients.is_finished(end.request),
         });
     }
 
-    /// The load report of a response, if its server sends one.
+    /// Draws the load report of a response, if the server sends one.
     fn draw_response_load_report(&mut self, end: &AttemptEnd) -> Option<LoadReport> {
         let sends_reports = self.scenario.settings.load_report_source == LoadReportSource::Responses;
         let has_report = sends_reports && end.outcome == Outcome::Success;
         has_report.then(|| self.fleet.draw_load_report(end.server, &mut self.context.rng))
     }
 
+    /// Ends a health check of a server.
     fn end_health_check(&mut self, server: ServerId) {
-        // Drawn even if it is not sent, as it was when the digests were recorded.
+        // The report is drawn even if the server does not respond, because the digests were recorded with
+        // this sequence of random numbers.
         let load_report = self.fleet.draw_load_report(server, &mut self.context.rng);
-        let is_answered = self.fleet.answers_health_checks(server);
+        let has_responded = self.fleet.responds_to_health_checks(server);
         self.handle(Event::HealthChecked {
             server,
-            outcome: if is_answered { Outcome::Success } else { Outcome::TimedOut },
-            elapsed: HEALTH_CHECK,
-            load_report: is_answered.then_some(load_report),
+            outcome: if has_responded { Outcome::Success } else { Outcome::TimedOut },
+            elapsed: HEALTH_CHECK_DURATION,
+            load_report: has_responded.then_some(load_report),
         });
     }
 
     /// Publishes the complete endpoint list.
-    fn publish_all(&mut self) {
-        self.publish(EndpointUpdate::Complete(self.fleet.listed_endpoints()));
+    fn publish_complete_list(&mut self) {
+        self.publish_update(EndpointUpdate::Complete(self.fleet.listed_endpoints()));
     }
 
     /// Sends an update of the endpoint list to the balancer, or a failure while discovery is down.
-    fn publish(&mut self, update: EndpointUpdate) {
+    fn publish_update(&mut self, update: EndpointUpdate) {
         let update = if self.is_discovery_down { EndpointUpdate::Failed } else { update };
-        self.context.schedule_after(DISCOVERY_MS, ScheduledEvent::Endpoints(update));
+        self.context.schedule_after(DISCOVERY_DELAY_MS, ScheduledEvent::Endpoints(update));
     }
 }
