--- a/crates/balancer-core/tests/random_events/attempts.rs
+++ b/crates/balancer-core/tests/random_events/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that the balancer has sent and that have not ended.
+//! The attempts in flight: those that the balancer has sent and that have not ended.
 
 use super::common::FIRST_ATTEMPT;
 use balancer_core::{Action, AttemptNumber, RequestId, Time};
@@ -6,15 +6,20 @@
 
 /// An attempt in flight.
 pub struct InFlightAttempt {
+    /// The request.
     pub request: RequestId,
+    /// The number of the attempt.
     pub attempt: AttemptNumber,
+    /// When the attempt was sent.
     pub sent_at: Time,
+    /// The moment at which the attempt times out.
     pub timeout_at: Time,
-    /// Whether its response has begun to stream; it does not time out then.
+    /// Whether the response has begun to stream. Such an attempt does not time out.
     pub is_streaming: bool,
 }
 
 impl InFlightAttempt {
+    /// Returns whether the attempt has timed out at `now`.
     pub fn has_timed_out(&self, now: Time) -> bool {
         now >= self.timeout_at && !self.is_streaming
     }
@@ -24,32 +29,42 @@
 #[derive(Default)]
 pub struct InFlightAttempts {
     attempts: Vec<InFlightAttempt>,
+    /// The number of the next attempt of each request that has been sent.
     next_attempts: BTreeMap<RequestId, AttemptNumber>,
 }
 
 impl InFlightAttempts {
+    /// Returns whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Removes an attempt at random; there must be one.
+    /// Removes a random attempt and returns it.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no attempt is in flight.
     pub fn remove_random(&mut self, rng: &mut fastrand::Rng) -> InFlightAttempt {
         self.attempts.swap_remove(rng.usize(0..self.attempts.len()))
     }
 
-    /// An attempt chosen at random; there must be one.
+    /// Returns a random attempt.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no attempt is in flight.
     pub fn random_mut(&mut self, rng: &mut fastrand::Rng) -> &mut InFlightAttempt {
         let position = rng.usize(0..self.attempts.len());
         &mut self.attempts[position]
     }
 
-    /// Removes an attempt that has timed out, if there is one.
+    /// Removes an attempt that has timed out and returns it, or returns `None` if no attempt has timed out.
     pub fn remove_timed_out(&mut self, now: Time) -> Option<InFlightAttempt> {
         let position = self.attempts.iter().position(|attempt| attempt.has_timed_out(now))?;
         Some(self.attempts.swap_remove(position))
     }
 
-    /// Sends or cancels the attempt of an action; ignores other actions.
+    /// Carries out an action that sends or cancels an attempt. Ignores other actions.
     pub fn carry_out(&mut self, now: Time, action: &Action) {
         match *action {
             Action::Send { request, timeout_at, .. } => self.send(now, request, timeout_at),
@@ -58,6 +73,7 @@
         }
     }
 
+    /// Adds the next attempt of a request.
     fn send(&mut self, now: Time, request: RequestId, timeout_at: Time) {
         let next_attempt = self.next_attempts.entry(request).or_insert(FIRST_ATTEMPT);
         let attempt = *next_attempt;
@@ -71,7 +87,8 @@
         });
     }
 
-    /// Lets an attempt time out now. A cancelled attempt would end as soon, only with another outcome.
+    /// Cancels an attempt by moving its timeout to `now`, unless its response has begun to stream. The attempt
+    /// ends at the same time as a cancelled attempt would, but it ends with `Outcome::TimedOut`.
     fn cancel(&mut self, now: Time, request: RequestId, attempt: AttemptNumber) {
         let is_cancelled = |candidate: &&mut InFlightAttempt| {
             candidate.request == request && candidate.attempt == attempt && !candidate.is_streaming
--- a/crates/balancer-core/tests/random_events/generator.rs
+++ b/crates/balancer-core/tests/random_events/generator.rs
@@ -1,4 +1,4 @@
-//! Feeds a balancer random events and simulates the attempts that it sends.
+//! Passes random events to a balancer and simulates the attempts that the balancer sends.
 
 use super::attempts::InFlightAttempts;
 use super::common::{fleet_in, Harness, THREE_ZONES};
@@ -7,29 +7,32 @@
     RequestClass, RequestId, RoutingKey, Settings, Span,
 };
 
-/// The time that a timed-out attempt is reported to have taken.
+/// The elapsed time that is reported for each attempt that timed out.
 const TIMEOUT_MS: f64 = 800.0;
 
-/// The statuses that an endpoint changes to, all equally likely.
+/// The statuses that an endpoint can change to. Each entry is equally likely.
 const STATUSES: [EndpointStatus; 4] =
     [EndpointStatus::Serving, EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed];
 
-/// Service times in load reports, two of which are invalid.
+/// The service times in load reports. The first two are invalid.
 const REPORTED_SERVICE_TIMES: [f64; 3] = [f64::NAN, -4.0, 30.0];
 
-/// A balancer that is fed random events.
+/// A balancer that receives random events, and the attempts that it has in flight.
 pub struct RandomEvents {
+    /// The harness that runs the balancer.
     pub harness: Harness,
-    /// The actions of each step as text.
+    /// The debug output of the balancer's actions in each step.
     pub action_log: Vec<String>,
     rng: fastrand::Rng,
     classes: Vec<RequestClass>,
+    /// The current endpoint list. The balancer may not have received all of its changes.
     endpoints: Vec<Endpoint>,
+    /// The attempts that the balancer has sent and that have not ended.
     attempts: InFlightAttempts,
 }
 
 impl RandomEvents {
-    /// Feeds a new balancer `step_count` random events.
+    /// Creates a balancer and passes random events to it in `step_count` steps.
     pub fn run(settings: Settings, seed: u64, step_count: u32) -> Self {
         let mut events = RandomEvents::new(settings, seed);
         for step in 0..step_count {
@@ -38,6 +41,7 @@
         events
     }
 
+    /// Creates a balancer that has received a cached list of one to nine endpoints.
     fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let classes = settings.classes.clone();
@@ -54,16 +58,17 @@
         }
     }
 
+    /// Simulates one random event and its effects.
     fn step(&mut self, step: u32) {
         let mut actions = self.handle_random_event(step);
-        actions.extend(self.time_out_attempts());
+        actions.extend(self.end_timed_out_attempts());
         for action in &actions {
             self.attempts.carry_out(self.harness.now, action);
         }
         self.action_log.push(format!("{actions:?}"));
     }
 
-    /// Handles one random event, or lets time pass.
+    /// Passes one random event to the balancer or advances the clock. Returns the balancer's actions.
     fn handle_random_event(&mut self, step: u32) -> Vec<Action> {
         match self.rng.u32(0..100) {
             0..=39 => self.submit_request(RequestId(u64::from(step))),
@@ -75,6 +80,7 @@
         }
     }
 
+    /// Submits a request with a random class, time left, routing key and cost hint.
     fn submit_request(&mut self, id: RequestId) -> Vec<Action> {
         let rng = &mut self.rng;
         let class = rng.usize(0..self.classes.len());
@@ -85,6 +91,7 @@
         self.harness.handle(Event::Request(request)).to_vec()
     }
 
+    /// Ends a random attempt with a random outcome.
     fn end_attempt(&mut self) -> Vec<Action> {
         let now = self.harness.now;
         let ended = self.attempts.remove_random(&mut self.rng);
@@ -108,6 +115,7 @@
         self.harness.handle(event).to_vec()
     }
 
+    /// Draws a load report, which may be absent or contain an invalid service time.
     fn draw_load_report(&mut self) -> Option<LoadReport> {
         if !self.rng.bool() {
             return None;
@@ -117,6 +125,7 @@
         Some(LoadReport::new(vec![in_flight, service_time]))
     }
 
+    /// Starts to stream the response to a random attempt.
     fn begin_stream(&mut self) -> Vec<Action> {
         let streaming = self.attempts.random_mut(&mut self.rng);
         streaming.is_streaming = true;
@@ -124,12 +133,13 @@
         self.harness.handle(first_byte).to_vec()
     }
 
-    /// Disconnects the client of a request that may not exist or may have ended.
+    /// Disconnects the client of a random request, which may not exist or may be finished.
     fn disconnect_client(&mut self, step: u32) -> Vec<Action> {
         let request = RequestId(u64::from(self.rng.u32(0..=step)));
         self.harness.handle(Event::ClientDisconnected { request }).to_vec()
     }
 
+    /// Changes a random endpoint and passes the balancer a random kind of update.
     fn change_endpoint(&mut self) -> Vec<Action> {
         let position = self.rng.usize(0..self.endpoints.len());
         let endpoint = &mut self.endpoints[position];
@@ -145,8 +155,8 @@
         self.harness.handle(Event::Endpoints(update)).to_vec()
     }
 
-    /// Ends the attempts that are past their timeout, as the caller's network would.
-    fn time_out_attempts(&mut self) -> Vec<Action> {
+    /// Ends the attempts that have timed out, as a balancer's caller does. Returns the balancer's actions.
+    fn end_timed_out_attempts(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(ended) = self.attempts.remove_timed_out(self.harness.now) {
             let outcome = Outcome::TimedOut;
--- a/crates/balancer-core/tests/random_events/main.rs
+++ b/crates/balancer-core/tests/random_events/main.rs
@@ -1,4 +1,5 @@
-//! Tests that the rules hold for random sequences of events, and that equal events give equal actions.
+//! Tests that a balancer keeps the rules for random sequences of events, and that it returns equal actions
+//! for equal events.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -10,7 +11,7 @@
 use common::*;
 use generator::RandomEvents;
 
-/// Settings that vary with the seed.
+/// Creates settings that depend on the seed.
 fn settings(seed: u64) -> Settings {
     let load_report_source = if seed % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Responses };
     let discovery_mode = if seed % 2 == 1 { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
@@ -46,7 +47,7 @@
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         assert_eq!(events.harness.lost_request_count(), 0, "seed {seed}");
         let send_count = events.action_log.iter().filter(|actions| actions.contains("Send")).count();
-        assert!(send_count > 50, "seed {seed} sent only {send_count} times and so shows little");
+        assert!(send_count > 50, "seed {seed}: attempts were sent in only {send_count} steps");
     }
 }
 
@@ -68,26 +69,28 @@
     assert_ne!(choices(1), choices(2));
 }
 
-/// A balancer that is fed the same sequence of events each time.
+/// A balancer that receives the same sequence of events in each run.
 struct RegularEvents {
     harness: Harness,
+    /// The number of steps so far.
     step: u32,
 }
 
 impl RegularEvents {
+    /// Creates a balancer that has received a list of seven endpoints.
     fn new(seed: u64) -> Self {
         let harness = Harness::with_endpoints(settings(seed), seed, fleet_in(7, THREE_ZONES));
         RegularEvents { harness, step: 0 }
     }
 
-    /// Sends the next request; all but every fourth are answered.
+    /// Submits the next request and returns the balancer's actions. Every fourth request gets no response.
     fn step(&mut self) -> Vec<Action> {
         let class = ClassId((self.step % 3) as usize);
         let request = self.harness.submit_request_of(class);
         let mut actions = self.harness.actions.clone();
         actions.extend(self.harness.advance_ms(3.0));
-        let is_answered = self.step % 4 != 0;
-        if request.is_sent() && is_answered {
+        let has_response = self.step % 4 != 0;
+        if request.is_sent() && has_response {
             actions.extend_from_slice(self.harness.succeed(request.id, 3.0));
         }
         self.step += 1;
@@ -95,10 +98,11 @@
     }
 }
 
-/// Two balancers that are fed events in turn act as each does alone, as they share no state.
+/// Guards against state that balancers share: two balancers that receive events in turn must return the same
+/// actions as each of them alone.
 #[test]
 fn interleaved_balancers_act_independently() {
-    let act_alone = |seed| {
+    let run_alone = |seed| {
         let mut events = RegularEvents::new(seed);
         (0..300).map(|_| events.step()).collect::<Vec<_>>()
     };
@@ -112,5 +116,5 @@
         second_actions.push(second.step());
     }
 
-    assert_eq!((first_actions, second_actions), (act_alone(3), act_alone(8)));
+    assert_eq!((first_actions, second_actions), (run_alone(3), run_alone(8)));
 }
