--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -83,7 +83,7 @@
     /// The actions that the balancer returned for the last event.
     pub actions: Vec<Action>,
     settings: Settings,
-    /// The timers that are not due yet, with the times at which they are due.
+    /// The timers that have not fired, with the times at which they are due.
     timers: BTreeSet<(Time, TimerId)>,
     /// The id of the next request that is submitted.
     next_request: u64,
--- a/crates/balancer-core/tests/common/rule_checker.rs
+++ b/crates/balancer-core/tests/common/rule_checker.rs
@@ -10,7 +10,7 @@
 use balancer_core::{Action, Effect, Endpoint, EndpointUpdate, Event, RequestId, ServerId, Settings, Time};
 use std::collections::BTreeMap;
 
-/// The contents of [`Action::Send`].
+/// The fields of [`Action::Send`] that the rules depend on.
 struct SentAttempt {
     request: RequestId,
     server: ServerId,
--- a/crates/balancer-core/tests/random_events/generator.rs
+++ b/crates/balancer-core/tests/random_events/generator.rs
@@ -17,8 +17,8 @@
 /// The service times in load reports. The first two are invalid.
 const REPORTED_SERVICE_TIMES: [f64; 3] = [f64::NAN, -4.0, 30.0];
 
-/// A balancer that receives random events, and the attempts that it has in flight.
-pub struct RandomEvents {
+/// A simulation in which a balancer receives random events.
+pub struct RandomSimulation {
     /// The harness that runs the balancer.
     pub harness: Harness,
     /// The debug output of the balancer's actions in each step.
@@ -31,24 +31,24 @@
     attempts: InFlightAttempts,
 }
 
-impl RandomEvents {
-    /// Creates a balancer and passes random events to it in `step_count` steps.
+impl RandomSimulation {
+    /// Runs a simulation of `step_count` steps and returns its final state.
     pub fn run(settings: Settings, seed: u64, step_count: u32) -> Self {
-        let mut events = RandomEvents::new(settings, seed);
+        let mut simulation = RandomSimulation::new(settings, seed);
         for step in 0..step_count {
-            events.step(step);
+            simulation.step(step);
         }
-        events
+        simulation
     }
 
-    /// Creates a balancer that has received a cached list of one to nine endpoints.
+    /// Creates a simulation whose balancer has received a cached list of one to nine endpoints.
     fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let classes = settings.classes.clone();
         let mut harness = Harness::new(settings, seed ^ 0x5eed);
         let endpoints = fleet_in(1 + rng.u32(0..9), THREE_ZONES);
         harness.handle(Event::Endpoints(EndpointUpdate::Cached(endpoints.clone())));
-        RandomEvents {
+        RandomSimulation {
             harness,
             action_log: Vec::new(),
             rng,
--- a/crates/balancer-core/tests/random_events/main.rs
+++ b/crates/balancer-core/tests/random_events/main.rs
@@ -9,7 +9,7 @@
 
 use balancer_core::*;
 use common::*;
-use generator::RandomEvents;
+use generator::RandomSimulation;
 
 /// Creates settings that depend on the seed.
 fn settings(seed: u64) -> Settings {
@@ -41,19 +41,19 @@
 #[test]
 fn rules_hold_for_random_events() {
     for seed in 0..120 {
-        let events = RandomEvents::run(settings(seed), seed, 1800);
+        let simulation = RandomSimulation::run(settings(seed), seed, 1800);
 
-        let violations = &events.harness.rule_checker.violations;
+        let violations = &simulation.harness.rule_checker.violations;
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
-        assert_eq!(events.harness.lost_request_count(), 0, "seed {seed}");
-        let send_count = events.action_log.iter().filter(|actions| actions.contains("Send")).count();
-        assert!(send_count > 50, "seed {seed}: attempts were sent in only {send_count} steps");
+        assert_eq!(simulation.harness.lost_request_count(), 0, "seed {seed}");
+        let send_count = simulation.action_log.iter().filter(|actions| actions.contains("Send")).count();
+        assert!(send_count > 50, "seed {seed} shows little: attempts were sent in only {send_count} steps");
     }
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
-    let action_log = |seed| RandomEvents::run(settings(seed), seed, 800).action_log;
+    let action_log = |seed| RandomSimulation::run(settings(seed), seed, 800).action_log;
     for seed in 0..10 {
         assert_eq!(action_log(seed), action_log(seed));
     }
@@ -69,18 +69,18 @@
     assert_ne!(choices(1), choices(2));
 }
 
-/// A balancer that receives the same sequence of events in each run.
-struct RegularEvents {
+/// A simulation in which a balancer receives the same sequence of events in each run.
+struct RegularSimulation {
     harness: Harness,
     /// The number of steps so far.
     step: u32,
 }
 
-impl RegularEvents {
-    /// Creates a balancer that has received a list of seven endpoints.
+impl RegularSimulation {
+    /// Creates a simulation whose balancer has received a list of seven endpoints.
     fn new(seed: u64) -> Self {
         let harness = Harness::with_endpoints(settings(seed), seed, fleet_in(7, THREE_ZONES));
-        RegularEvents { harness, step: 0 }
+        RegularSimulation { harness, step: 0 }
     }
 
     /// Submits the next request and returns the balancer's actions. Every fourth request gets no response.
@@ -103,11 +103,11 @@
 #[test]
 fn interleaved_balancers_act_independently() {
     let run_alone = |seed| {
-        let mut events = RegularEvents::new(seed);
-        (0..300).map(|_| events.step()).collect::<Vec<_>>()
+        let mut simulation = RegularSimulation::new(seed);
+        (0..300).map(|_| simulation.step()).collect::<Vec<_>>()
     };
-    let mut first = RegularEvents::new(3);
-    let mut second = RegularEvents::new(8);
+    let mut first = RegularSimulation::new(3);
+    let mut second = RegularSimulation::new(8);
 
     let mut first_actions = Vec::new();
     let mut second_actions = Vec::new();
--- a/crates/balancer-core/tests/recorded_actions/clients.rs
+++ b/crates/balancer-core/tests/recorded_actions/clients.rs
@@ -64,8 +64,8 @@
         self.requests.values().all(|request| request.is_finished)
     }
 
-    /// Sends a request. Schedules the arrival of the next request and, for some requests, the disconnection of
-    /// the client or the first byte of a streamed response.
+    /// Sends a request. Schedules the arrival of the next request and, for some requests, the disconnection
+    /// of the client or the first byte of a streamed response.
     pub fn send_request(&mut self, context: &mut Context) -> Request {
         let gap_ms = context.draw_gap_ms(self.scenario.mean_arrival_gap_ms) / self.arrival_rate_factor;
         context.schedule_after(gap_ms, ScheduledEvent::Arrival);
--- a/crates/balancer-core/tests/recorded_actions/scenarios/many_balancers.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios/many_balancers.rs
@@ -1,5 +1,5 @@
-//! Scenarios of deployments with many balancers, in which each balancer sends a small fraction of the requests
-//! of any server.
+//! Scenarios of deployments with many balancers, in which each balancer sends a small fraction of the
+//! requests of any server.
 
 use super::few_balancers::small_deployment;
 use super::{scenario, tenants, InitialFleet, Scenario};
