--- a/crates/balancer-core/tests/recorded_actions/scenarios.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios.rs
@@ -49,7 +49,7 @@
 
 /// Creates one request class for each effect and each deduplication scope, and a class with streamed
 /// responses.
-fn all_effects() -> Vec<RequestClass> {
+fn classes_with_all_effects() -> Vec<RequestClass> {
     vec![
         class(Effect::Idempotent),
         RequestClass {
--- a/crates/balancer-core/tests/recorded_actions/scenarios/few_balancers.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios/few_balancers.rs
@@ -2,7 +2,7 @@
 //! of every server.
 
 use super::super::common::{class, deduplicated};
-use super::{all_effects, scenario, tenants, InitialFleet, Scenario};
+use super::{classes_with_all_effects, scenario, tenants, InitialFleet, Scenario};
 use balancer_core::{
     Costs, DedupScope, DiscoveryMode, Effect, GoalWeights, LoadReportField, LoadReportSource, Settings, Span,
     ValueBasis,
@@ -12,7 +12,7 @@
 pub fn small_deployment() -> Settings {
     Settings {
         balancer_count: 4,
-        classes: all_effects(),
+        classes: classes_with_all_effects(),
         goal: GoalWeights { overall: 0.6, worst_window: 0.2, worst_class: 0.2, worst_tenant: 0.0 },
         sends_retry_after: true,
         max_retry_after: Span::from_millis(45),
