--- a/crates/balancer-core/tests/random_events/main.rs
+++ b/crates/balancer-core/tests/random_events/main.rs
@@ -1,4 +1,5 @@
-//! Tests that the rules hold for random sequences of events, and that equal events give equal actions.
+//! Tests that a balancer keeps the rules for random sequences of events, and that it returns equal actions
+//! for equal events.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -8,9 +9,9 @@
 
 use balancer_core::*;
 use common::*;
-use generator::RandomEvents;
+use generator::RandomSimulation;
 
-/// Settings that vary with the seed.
+/// Creates settings that depend on the seed.
 fn settings(seed: u64) -> Settings {
     let load_report_source = if seed % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Responses };
     let discovery_mode = if seed % 2 == 1 { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
@@ -40,19 +41,19 @@
 #[test]
 fn rules_hold_for_random_events() {
     for seed in 0..120 {
-        let events = RandomEvents::run(settings(seed), seed, 1800);
+        let simulation = RandomSimulation::run(settings(seed), seed, 1800);
 
-        let violations = &events.harness.rule_checker.violations;
+        let violations = &simulation.harness.rule_checker.violations;
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
-        assert_eq!(events.harness.lost_request_count(), 0, "seed {seed}");
-        let send_count = events.action_log.iter().filter(|actions| actions.contains("Send")).count();
-        assert!(send_count > 50, "seed {seed} sent only {send_count} times and so shows little");
+        assert_eq!(simulation.harness.lost_request_count(), 0, "seed {seed}");
+        let send_count = simulation.action_log.iter().filter(|actions| actions.contains("Send")).count();
+        assert!(send_count > 50, "seed {seed} shows little: attempts were sent in only {send_count} steps");
     }
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
-    let action_log = |seed| RandomEvents::run(settings(seed), seed, 800).action_log;
+    let action_log = |seed| RandomSimulation::run(settings(seed), seed, 800).action_log;
     for seed in 0..10 {
         assert_eq!(action_log(seed), action_log(seed));
     }
@@ -68,26 +69,28 @@
     assert_ne!(choices(1), choices(2));
 }
 
-/// A balancer that is fed the same sequence of events each time.
-struct RegularEvents {
+/// A simulation in which a balancer receives the same sequence of events in each run.
+struct RegularSimulation {
     harness: Harness,
+    /// The number of steps so far.
     step: u32,
 }
 
-impl RegularEvents {
+impl RegularSimulation {
+    /// Creates a simulation whose balancer has received a list of seven endpoints.
     fn new(seed: u64) -> Self {
         let harness = Harness::with_endpoints(settings(seed), seed, fleet_in(7, THREE_ZONES));
-        RegularEvents { harness, step: 0 }
+        RegularSimulation { harness, step: 0 }
     }
 
-    /// Sends the next request; all but every fourth are answered.
+    /// Submits the next request and returns the balancer's actions. Every fourth request gets no response.
     fn step(&mut self) -> Vec<Action> {
         let class = ClassId((self.step % 3) as usize);
         let request = self.harness.submit_request_of(class);
         let mut actions = self.harness.actions.clone();
         actions.extend(self.harness.advance_ms(3.0));
-        let is_answered = self.step % 4 != 0;
-        if request.is_sent() && is_answered {
+        let has_response = self.step % 4 != 0;
+        if request.is_sent() && has_response {
             actions.extend_from_slice(self.harness.succeed(request.id, 3.0));
         }
         self.step += 1;
@@ -95,15 +98,16 @@
     }
 }
 
-/// Two balancers that are fed events in turn act as each does alone, as they share no state.
+/// Guards against state that balancers share: two balancers that receive events in turn must return the same
+/// actions as each of them alone.
 #[test]
 fn interleaved_balancers_act_independently() {
-    let act_alone = |seed| {
-        let mut events = RegularEvents::new(seed);
-        (0..300).map(|_| events.step()).collect::<Vec<_>>()
+    let run_alone = |seed| {
+        let mut simulation = RegularSimulation::new(seed);
+        (0..300).map(|_| simulation.step()).collect::<Vec<_>>()
     };
-    let mut first = RegularEvents::new(3);
-    let mut second = RegularEvents::new(8);
+    let mut first = RegularSimulation::new(3);
+    let mut second = RegularSimulation::new(8);
 
     let mut first_actions = Vec::new();
     let mut second_actions = Vec::new();
@@ -112,5 +116,5 @@
         second_actions.push(second.step());
     }
 
-    assert_eq!((first_actions, second_actions), (act_alone(3), act_alone(8)));
+    assert_eq!((first_actions, second_actions), (run_alone(3), run_alone(8)));
 }
