--- a/crates/balancer-agent/src/config.rs
+++ b/crates/balancer-agent/src/config.rs
@@ -84,9 +84,9 @@
     /// The agent's name in log lines.
     pub name: String,
     /// The address on which the agent accepts client connections.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The address of discovery.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// The seed of the balancer's random number generator.
     pub seed: u64,
     /// The maximum number of file descriptors that the process may hold.
@@ -173,16 +173,16 @@
             let value = read_variable(name).or(file_value);
             parse_address(name, value.ok_or(ConfigError::MissingVariable { variable: name })?)
         };
-        let listen = address(LISTEN_VARIABLE, file.listen)?;
-        let discovery = address(DISCOVERY_VARIABLE, file.discovery)?;
+        let listen_address = address(LISTEN_VARIABLE, file.listen)?;
+        let discovery_address = address(DISCOVERY_VARIABLE, file.discovery)?;
         let host_settings = HostSettings::from(&file.settings);
         let settings = adapt_to_sockets(Settings::from(&file.settings), &host_settings);
         settings.validate()?;
         check_class_names(&host_settings)?;
         Ok(Config {
             name: read_variable(NAME_VARIABLE).or(file.name).unwrap_or_else(|| DEFAULT_NAME.into()),
-            listen,
-            discovery,
+            listen_address,
+            discovery_address,
             seed: parse_seed(&file.seed.unwrap_or_default()),
             max_sockets: resolve_max_sockets(&file.limits)?,
             settings,
--- a/crates/balancer-agent/src/config/tests.rs
+++ b/crates/balancer-agent/src/config/tests.rs
@@ -4,14 +4,14 @@
 
 const SETTINGS: &str = r#"{"classes":[{"name":"a","aimMs":100,"deadlineMs":200,"effect":"idempotent"}]}"#;
 
-/// Loads a configuration from the text of a file, with `PROXY_LISTEN` set to `listen`.
-fn load(text: &str, listen: &str) -> Result<Config, ConfigError> {
+/// Loads a configuration from the text of a file, with `PROXY_LISTEN` set to `listen_address`.
+fn load(text: &str, listen_address: &str) -> Result<Config, ConfigError> {
     let file = serde_json::from_str(text).expect("a configuration file");
-    Config::from_file(file, |name| (name == "PROXY_LISTEN").then(|| listen.to_owned()))
+    Config::from_file(file, |name| (name == "PROXY_LISTEN").then(|| listen_address.to_owned()))
 }
 
-fn load_error(text: &str, listen: &str) -> String {
-    load(text, listen).expect_err("the configuration is invalid").to_string()
+fn load_error(text: &str, listen_address: &str) -> String {
+    load(text, listen_address).expect_err("the configuration is invalid").to_string()
 }
 
 #[test]
@@ -22,8 +22,8 @@
 
     let config = load(&text, "127.0.0.1:3").expect("a configuration");
 
-    assert_eq!(config.listen.port(), 3);
-    assert_eq!(config.discovery.port(), 2);
+    assert_eq!(config.listen_address.port(), 3);
+    assert_eq!(config.discovery_address.port(), 2);
     assert_eq!(config.seed, 255);
     assert_eq!(config.host_settings.class_names, ["a"]);
 }
--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -59,7 +59,7 @@
     }
 
     /// Changes the address of the service. Ends the watch at the old address and closes its connection.
-    pub fn relocate(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.list_version = None;
         self.stop_watch();
--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -86,7 +86,7 @@
             events: RefCell::new(EventQueue::new(balancer)),
             timers: Timers::default(),
             requests: RefCell::default(),
-            endpoint_watch: RefCell::new(EndpointWatch::new(config.discovery)),
+            endpoint_watch: RefCell::new(EndpointWatch::new(config.discovery_address)),
             client: ServerClient::new(pool, host_settings.load_report_fields.clone()),
             host_settings,
         });
@@ -133,8 +133,8 @@
 
     /// Changes the address of discovery and starts a watch there, which begins with the complete endpoint
     /// list. The known servers stay in use until that list arrives.
-    pub fn relocate_discovery(self: &Rc<Self>, address: SocketAddr) {
-        self.endpoint_watch.borrow_mut().relocate(address, self.clone());
+    pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
+        self.endpoint_watch.borrow_mut().set_discovery_address(address, self.clone());
     }
 
     /// Passes due timers to the balancer and closes stale connections. Never returns.
--- a/crates/balancer-agent/src/driver/endpoint_watch.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch.rs
@@ -34,8 +34,8 @@
     }
 
     /// Changes the address of discovery and starts a watch there, which begins with the complete list.
-    pub fn relocate(&mut self, address: SocketAddr, listener: Rc<impl WatchListener + 'static>) {
-        self.discovery.relocate(address);
+    pub fn set_discovery_address(&mut self, address: SocketAddr, listener: Rc<impl WatchListener + 'static>) {
+        self.discovery.set_address(address);
         self.discovery.watch(listener);
     }
 
--- a/crates/balancer-agent/src/driver/requests.rs
+++ b/crates/balancer-agent/src/driver/requests.rs
@@ -5,7 +5,7 @@
 
 pub use attempts::AttemptId;
 
-use crate::request::{ClientRequest, FinalAnswer, ServedAnswer, SubmittedRequest};
+use crate::request::{ClientRequest, FinalResponse, ServedResponse, SubmittedRequest};
 use crate::upstream::AttemptProgress;
 use attempts::AttemptsInFlight;
 use balancer_core::{Outcome, RequestId, Span};
@@ -54,14 +54,14 @@
 
     /// Rejects a request as its final response.
     pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>) {
-        self.respond(id, FinalAnswer::Rejected { retry_after });
+        self.respond(id, FinalResponse::Rejected { retry_after });
     }
 
     /// Fails a request as its final response. The status code states whether the last attempt timed out.
     pub fn fail(&mut self, id: RequestId) {
         let has_timed_out = self.pending.last_attempt_timed_out(id);
         let status = if has_timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-        self.respond(id, FinalAnswer::Failed(status));
+        self.respond(id, FinalResponse::Failed(status));
     }
 
     /// Starts the next attempt of a request. If `write_by` is set, it is the deadline for writing the last
@@ -79,16 +79,16 @@
 
     /// Records the end of an attempt. The first successful response of a server becomes the final response to
     /// the request.
-    pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, response: Option<ServedAnswer>) {
+    pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, response: Option<ServedResponse>) {
         self.attempts.end(id);
         self.pending.record_attempt_outcome(id.request, outcome);
         if let Some(response) = response {
-            self.respond(id.request, FinalAnswer::Served(response));
+            self.respond(id.request, FinalResponse::Served(response));
         }
     }
 
     /// Closes a request and sends its final response, unless it was closed already.
-    fn respond(&mut self, id: RequestId, response: FinalAnswer) {
+    fn respond(&mut self, id: RequestId, response: FinalResponse) {
         if let Some(response_sender) = self.close(id) {
             // Sending fails if the client has just disconnected. The response is not needed then.
             let _ = response_sender.send(response);
@@ -97,7 +97,7 @@
 
     /// Removes a request and returns the sender for its final response, or `None` if the request was closed
     /// already.
-    fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalAnswer>> {
+    fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         let closed = self.pending.remove(id)?;
         self.attempts.cancel_unwritten(id, closed.attempts_started);
         Some(closed.response_sender)
--- a/crates/balancer-agent/src/driver/requests/pending.rs
+++ b/crates/balancer-agent/src/driver/requests/pending.rs
@@ -1,7 +1,7 @@
 //! The requests that have had no final response yet.
 
 use super::attempts::AttemptId;
-use crate::request::{ClientRequest, FinalAnswer, SubmittedRequest};
+use crate::request::{ClientRequest, FinalResponse, SubmittedRequest};
 use balancer_core::{AttemptNumber, Outcome, RequestId};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 /// The state of a pending request.
 struct PendingRequest {
     request: Rc<ClientRequest>,
-    response_sender: oneshot::Sender<FinalAnswer>,
+    response_sender: oneshot::Sender<FinalResponse>,
     attempts_started: u32,
     last_attempt_timed_out: bool,
 }
@@ -18,7 +18,7 @@
 /// A request that is no longer pending.
 pub struct ClosedRequest {
     /// The sender for the final response.
-    pub response_sender: oneshot::Sender<FinalAnswer>,
+    pub response_sender: oneshot::Sender<FinalResponse>,
     /// The number of attempts that were started for the request.
     pub attempts_started: u32,
 }
@@ -47,7 +47,7 @@
         let pending =
             PendingRequest { request, response_sender, attempts_started: 0, last_attempt_timed_out: false };
         self.requests.insert(id, pending);
-        SubmittedRequest { id, answer: receiver }
+        SubmittedRequest { id, response: receiver }
     }
 
     /// Returns whether a request is pending.
--- a/crates/balancer-agent/src/driver/requests/tests.rs
+++ b/crates/balancer-agent/src/driver/requests/tests.rs
@@ -21,9 +21,9 @@
 }
 
 fn status_of(mut submitted: SubmittedRequest) -> StatusCode {
-    match submitted.answer.try_recv().expect("a response") {
-        FinalAnswer::Failed(status) => status,
-        FinalAnswer::Served(_) | FinalAnswer::Rejected { .. } => panic!("the request did not fail"),
+    match submitted.response.try_recv().expect("a response") {
+        FinalResponse::Failed(status) => status,
+        FinalResponse::Served(_) | FinalResponse::Rejected { .. } => panic!("the request did not fail"),
     }
 }
 
--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -63,7 +63,7 @@
         let submitted = self.driver.submit(request);
         let _disconnect_guard = DisconnectGuard { driver: &self.driver, id: submitted.id };
         let response = tokio::select! {
-            response = timeout_at(deadline + DEADLINE_SLACK, submitted.answer) => response.ok(),
+            response = timeout_at(deadline + DEADLINE_SLACK, submitted.response) => response.ok(),
             () = shutdown.responses_due() => None,
         };
         match response {
--- a/crates/balancer-agent/src/listener/response.rs
+++ b/crates/balancer-agent/src/listener/response.rs
@@ -1,6 +1,6 @@
 //! The responses to clients, with their statuses, headers and texts.
 
-use crate::request::{FinalAnswer, ServedAnswer};
+use crate::request::{FinalResponse, ServedResponse};
 use balancer_core::Span;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,19 +18,19 @@
     response
 }
 
-impl From<FinalAnswer> for ClientResponse {
-    fn from(response: FinalAnswer) -> Self {
+impl From<FinalResponse> for ClientResponse {
+    fn from(response: FinalResponse) -> Self {
         match response {
-            FinalAnswer::Served(served) => served_response(served),
-            FinalAnswer::Rejected { retry_after } => rejection_response(retry_after),
-            FinalAnswer::Failed(status) => text_response(status, "failed"),
+            FinalResponse::Served(served) => served_response(served),
+            FinalResponse::Rejected { retry_after } => rejection_response(retry_after),
+            FinalResponse::Failed(status) => text_response(status, "failed"),
         }
     }
 }
 
 /// Returns a response with the content type and the body of a server's response. The other headers of the
 /// server's response are not forwarded.
-fn served_response(served: ServedAnswer) -> ClientResponse {
+fn served_response(served: ServedResponse) -> ClientResponse {
     let mut response = Response::new(Full::new(served.body));
     if let Some(content_type) = served.content_type {
         response.headers_mut().insert(CONTENT_TYPE, content_type);
--- a/crates/balancer-agent/src/listener/tests.rs
+++ b/crates/balancer-agent/src/listener/tests.rs
@@ -51,8 +51,8 @@
     let host_settings = HostSettings::from(&WireSettings::default());
     let config = Config {
         name: "agent".into(),
-        listen: unused_address,
-        discovery: unused_address,
+        listen_address: unused_address,
+        discovery_address: unused_address,
         seed: 1,
         max_sockets: 100,
         settings: Settings::default(),
--- a/crates/balancer-agent/src/listener/validation.rs
+++ b/crates/balancer-agent/src/listener/validation.rs
@@ -6,7 +6,7 @@
 use crate::driver::Driver;
 use crate::headers::forwarded_headers;
 use crate::request::ClientRequest;
-use crate::upstream::MAX_BODY;
+use crate::upstream::MAX_BODY_BYTES;
 use balancer_core::{ClassId, Effect, RoutingKey, Span, TenantId};
 use balancer_settings::hash_name;
 use bytes::Bytes;
@@ -36,8 +36,8 @@
 const ROUTING_KEY_PREFIX: &str = "key=";
 /// The maximum length of a request's id, in bytes.
 const MAX_ID_BYTES: usize = 256;
-/// The part of a client's timeout that is reserved for writing the response. The reserved part is smaller if
-/// the timeout is short; see [`RESPONSE_WRITE_DIVISOR`].
+/// The time that is reserved for writing the response, at the end of a client's timeout. Less time is
+/// reserved if the timeout is short; see [`RESPONSE_WRITE_DIVISOR`].
 const RESPONSE_WRITE_TIME: Duration = Duration::from_millis(6);
 /// At most the timeout divided by this number is reserved for writing the response.
 const RESPONSE_WRITE_DIVISOR: u32 = 4;
@@ -133,10 +133,10 @@
 
 /// Reads a request's body completely, within [`READ_TIMEOUT`].
 async fn read_body(body: Incoming) -> Result<Bytes, InvalidRequest> {
-    if body.size_hint().lower() > MAX_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(InvalidRequest::BodyTooLarge);
     }
-    match timeout(READ_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await {
+    match timeout(READ_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(InvalidRequest::BodyTooLarge),
         Ok(Err(_)) => Err(InvalidRequest::IncompleteBody),
--- a/crates/balancer-agent/src/main.rs
+++ b/crates/balancer-agent/src/main.rs
@@ -96,7 +96,7 @@
     let mut terminate = install_signal_handler(SignalKind::terminate(), "SIGTERM")?;
     let hangup = install_signal_handler(SignalKind::hangup(), "SIGHUP")?;
     let name = config.name.clone();
-    let address = config.listen;
+    let address = config.listen_address;
     let listen_error = |source| AgentError::Listen { address, source };
     let socket = TcpListener::bind(address).await.map_err(listen_error)?;
     let bound_address = socket.local_addr().map_err(listen_error)?;
@@ -138,7 +138,7 @@
         match config::read_discovery_address(environment_variable) {
             Ok(address) => {
                 eprintln!("{name}: SIGHUP: discovery is now at {address}");
-                driver.relocate_discovery(address);
+                driver.set_discovery_address(address);
             }
             Err(error) => eprintln!("{name}: SIGHUP: {error}; the configuration is unchanged"),
         }
--- a/crates/balancer-agent/src/request.rs
+++ b/crates/balancer-agent/src/request.rs
@@ -51,13 +51,13 @@
     /// The id that the driver assigned to the request.
     pub id: RequestId,
     /// Receives the final response.
-    pub answer: oneshot::Receiver<FinalAnswer>,
+    pub response: oneshot::Receiver<FinalResponse>,
 }
 
 /// The final response to a request.
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// A server's response, which has been received completely.
-    Served(ServedAnswer),
+    Served(ServedResponse),
     /// The balancer has rejected the request. The request was not processed and may be retried.
     Rejected {
         /// The time after which a retry makes sense, if the settings allow the agent to state it.
@@ -69,7 +69,7 @@
 
 /// The parts of a server's response that are forwarded to the client.
 #[derive(Debug)]
-pub struct ServedAnswer {
+pub struct ServedResponse {
     /// The response's content type.
     pub content_type: Option<HeaderValue>,
     /// The response's body.
--- a/crates/balancer-agent/src/upstream.rs
+++ b/crates/balancer-agent/src/upstream.rs
@@ -6,9 +6,9 @@
 
 mod attempt;
 mod client;
-mod counted_stream;
+mod counting_stream;
 mod pool;
-mod request_on_wire;
+mod request_write;
 mod response;
 
 pub use attempt::{AttemptProgress, AttemptResult};
@@ -16,6 +16,6 @@
 pub use pool::{ConnectionPool, PoolLimits};
 
 /// The maximum size of the body of a request or a response, in bytes (PROTOCOL page).
-pub const MAX_BODY: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// The maximum size of the head of a response and of each of hyper's buffers, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/crates/balancer-agent/src/upstream/attempt.rs
+++ b/crates/balancer-agent/src/upstream/attempt.rs
@@ -1,7 +1,7 @@
 //! The progress and the result of an attempt.
 
-use super::request_on_wire::RequestOnWire;
-use crate::request::ServedAnswer;
+use super::request_write::RequestWrite;
+use crate::request::ServedResponse;
 use balancer_core::{LoadReport, Outcome};
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
@@ -13,8 +13,8 @@
 pub struct AttemptProgress {
     /// The deadline for writing the last byte of the attempt, if there is one.
     write_by: Option<Instant>,
-    /// The request on its connection; `None` until a connection has been acquired.
-    request: RefCell<Option<RequestOnWire>>,
+    /// The state of the write to the connection; `None` until a connection has been acquired.
+    request: RefCell<Option<RequestWrite>>,
     is_cancelled: Cell<bool>,
     cancelled: Notify,
 }
@@ -27,14 +27,14 @@
     }
 
     /// Records that the request is about to be written to a connection.
-    pub fn start_writing(&self, request: RequestOnWire) {
+    pub fn start_writing(&self, request: RequestWrite) {
         request.set_write_by(self.write_by);
         *self.request.borrow_mut() = Some(request);
     }
 
     /// Returns whether the server may have run the request, because the last byte may have been written.
     pub fn may_have_run(&self) -> bool {
-        self.request.borrow().as_ref().is_some_and(RequestOnWire::may_be_complete)
+        self.request.borrow().as_ref().is_some_and(RequestWrite::may_be_complete)
     }
 
     /// Cancels the attempt. Bytes that have not been written are never written.
@@ -64,7 +64,7 @@
     /// The load report in the server's response, if there is one.
     pub load_report: Option<LoadReport>,
     /// The complete response, if the outcome is [`Outcome::Success`].
-    pub response: Option<ServedAnswer>,
+    pub response: Option<ServedResponse>,
 }
 
 impl AttemptResult {
--- a/crates/balancer-agent/src/upstream/client.rs
+++ b/crates/balancer-agent/src/upstream/client.rs
@@ -2,10 +2,10 @@
 
 use super::attempt::{AttemptProgress, AttemptResult};
 use super::pool::{Connection, ConnectionPool, REUSE_DELAY};
-use super::request_on_wire::RequestOnWire;
+use super::request_write::RequestWrite;
 use super::response::{has_valid_length, load_report_of, outcome_of, parse_load_report};
-use super::{MAX_BODY, MAX_HEAD_BYTES};
-use crate::request::ServedAnswer;
+use super::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::request::ServedResponse;
 use balancer_core::{Outcome, ServerId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -25,7 +25,7 @@
 /// The maximum number of bytes that are read for one response: the body with its framing, the head, and the
 /// heads of preceding 1xx responses. A server that sends more violates the protocol, even if each part is
 /// well formed.
-const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BODY + MAX_HEAD_BYTES) as u64;
+const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BODY_BYTES + MAX_HEAD_BYTES) as u64;
 
 /// The connection broke, or the server violated the protocol, before the exchange was complete.
 struct ExchangeError;
@@ -91,9 +91,9 @@
             self.pool.release(connection);
             return Ok(AttemptResult::without_response(Outcome::NotSent));
         }
-        let on_wire = RequestOnWire::new(&request, connection.socket_state());
-        progress.start_writing(on_wire.clone());
-        self.exchange(connection, request, &on_wire).await
+        let request_write = RequestWrite::new(&request, connection.socket_state());
+        progress.start_writing(request_write.clone());
+        self.exchange(connection, request, &request_write).await
     }
 
     /// Sends a health check to a server. If servers send load reports, the check requests one.
@@ -113,8 +113,8 @@
         let connection = self.pool.acquire(server).await?;
         let request = Request::get(path).header("host", "backend").body(Full::default());
         let request = request.map_err(|_| Outcome::NotSent)?;
-        let on_wire = RequestOnWire::new(&request, connection.socket_state());
-        let result = self.exchange(connection, request, &on_wire).await;
+        let request_write = RequestWrite::new(&request, connection.socket_state());
+        let result = self.exchange(connection, request, &request_write).await;
         result.map_err(|ExchangeError| Outcome::ConnectionReset)
     }
 
@@ -123,16 +123,16 @@
         &self,
         mut connection: Connection,
         request: Request<Full<Bytes>>,
-        on_wire: &RequestOnWire,
+        request_write: &RequestWrite,
     ) -> Result<AttemptResult, ExchangeError> {
         connection.socket_state().allow_reading(MAX_RESPONSE_BYTES);
         let response = connection.send_request(request).await.map_err(|_| ExchangeError)?;
         let outcome = outcome_of(&response);
         let load_report = load_report_of(&response, &self.load_report_fields);
-        if !on_wire.may_be_complete() {
+        if !request_write.may_be_complete() {
             // The server must not receive the rest of a request that it has already rejected. A success that
             // arrives before the last byte has been written cannot be the response to this request.
-            on_wire.stop_writing();
+            request_write.stop_writing();
             if outcome == Outcome::Success {
                 return Err(ExchangeError);
             }
@@ -168,12 +168,12 @@
     }
 }
 
-/// Reads the body of a response. A body that breaks off or exceeds [`MAX_BODY`] is an error.
-async fn read_response(response: Response<Incoming>) -> Result<ServedAnswer, ExchangeError> {
+/// Reads the body of a response. A body that breaks off or exceeds [`MAX_BODY_BYTES`] is an error.
+async fn read_response(response: Response<Incoming>) -> Result<ServedResponse, ExchangeError> {
     let content_type = response.headers().get(CONTENT_TYPE).cloned();
-    let body = Limited::new(response.into_body(), MAX_BODY).collect().await;
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
     let body = body.map_err(|_| ExchangeError)?.to_bytes();
-    Ok(ServedAnswer { content_type, body })
+    Ok(ServedResponse { content_type, body })
 }
 
 #[cfg(test)]
--- a/crates/balancer-agent/src/upstream/client/tests.rs
+++ b/crates/balancer-agent/src/upstream/client/tests.rs
@@ -88,7 +88,7 @@
     sleep_until(start).await;
     let mut bytes = Vec::new();
     // The loop also ends when the connection is reset.
-    while bytes.len() <= MAX_BODY && stream.read_buf(&mut bytes).await.is_ok_and(|length| length > 0) {}
+    while bytes.len() <= MAX_BODY_BYTES && stream.read_buf(&mut bytes).await.is_ok_and(|length| length > 0) {}
     bytes.len()
 }
 
@@ -99,7 +99,8 @@
 async fn a_retry_that_is_still_being_written_at_its_write_deadline_is_never_written_completely() {
     let listener = slow_listener();
     let client = client_of(&listener);
-    let request = Request::post("/").body(Full::new(Bytes::from(vec![b'b'; MAX_BODY]))).expect("a request");
+    let request =
+        Request::post("/").body(Full::new(Bytes::from(vec![b'b'; MAX_BODY_BYTES]))).expect("a request");
     let started_at = Instant::now();
     let progress = AttemptProgress::new(Some(started_at + Duration::from_secs(5)));
     let attempt = client.send_attempt(SERVER, request, started_at + LONG_TIMEOUT, &progress);
@@ -108,6 +109,6 @@
     let test = async { tokio::join!(attempt, server) };
     let (result, received) = LocalSet::new().run_until(test).await;
 
-    assert!(received <= MAX_BODY, "the server received the whole request");
+    assert!(received <= MAX_BODY_BYTES, "the server received the whole request");
     assert_eq!(result.outcome, Outcome::ConnectFailed, "the request never ran");
 }
--- a/crates/balancer-agent/src/upstream/counted_stream.rs
+++ b/crates/balancer-agent/src/upstream/counting_stream.rs
@@ -57,19 +57,19 @@
 }
 
 /// A connected socket that counts written bytes and enforces the limits of its [`SocketState`].
-pub struct CountedStream {
+pub struct CountingStream {
     io: TokioIo<TcpStream>,
     socket_state: Rc<SocketState>,
 }
 
-impl CountedStream {
+impl CountingStream {
     /// Wraps a connected socket. Reads fail until [`SocketState::allow_reading`] is called.
     pub fn new(stream: TcpStream, socket_state: Rc<SocketState>) -> Self {
-        CountedStream { io: TokioIo::new(stream), socket_state }
+        CountingStream { io: TokioIo::new(stream), socket_state }
     }
 }
 
-impl Read for CountedStream {
+impl Read for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -86,7 +86,7 @@
     }
 }
 
-impl Write for CountedStream {
+impl Write for CountingStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[io::IoSlice::new(buf)])
     }
--- a/crates/balancer-agent/src/upstream/pool/connection.rs
+++ b/crates/balancer-agent/src/upstream/pool/connection.rs
@@ -3,7 +3,7 @@
 use super::incarnation::Incarnation;
 use super::slots::ConnectionSlot;
 use crate::http_client::{connect, start_http, ConnectionTask};
-use crate::upstream::counted_stream::{CountedStream, SocketState};
+use crate::upstream::counting_stream::{CountingStream, SocketState};
 use crate::upstream::MAX_HEAD_BYTES;
 use balancer_core::ServerId;
 use bytes::Bytes;
@@ -55,7 +55,7 @@
         let socket_state = Rc::<SocketState>::default();
         let mut builder = Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES).max_header_size(MAX_HEAD_BYTES);
-        let socket = CountedStream::new(stream, socket_state.clone());
+        let socket = CountingStream::new(stream, socket_state.clone());
         let http = start_http(&builder, socket).await.map_err(io::Error::other)?;
         Ok(Connection {
             target,
--- a/crates/balancer-agent/src/upstream/request_on_wire.rs
+++ b/crates/balancer-agent/src/upstream/request_write.rs
@@ -1,6 +1,6 @@
 //! Tracks whether a request has been written completely to its connection.
 
-use super::counted_stream::SocketState;
+use super::counting_stream::SocketState;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Body;
@@ -8,19 +8,20 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The position of a request in the bytes that are written to its connection.
+/// The state of the write of a request to its connection, which shows whether the last byte may have been
+/// written.
 #[derive(Clone)]
-pub struct RequestOnWire {
+pub struct RequestWrite {
     socket_state: Rc<SocketState>,
     /// A lower bound of the connection's count of written bytes once the last byte of the request is written.
     end: u64,
 }
 
-impl RequestOnWire {
-    /// Creates the position of a request that is written to a connection next.
+impl RequestWrite {
+    /// Creates the state for a request that is written to a connection next.
     pub fn new(request: &Request<Full<Bytes>>, socket_state: &Rc<SocketState>) -> Self {
         let end = socket_state.bytes_written() + min_encoded_size(request);
-        RequestOnWire { socket_state: socket_state.clone(), end }
+        RequestWrite { socket_state: socket_state.clone(), end }
     }
 
     /// Returns whether the last byte of the request may have been written. A server runs a request only after
--- a/crates/balancer-agent/src/upstream/response.rs
+++ b/crates/balancer-agent/src/upstream/response.rs
@@ -1,6 +1,6 @@
 //! Interprets the responses of servers (PROTOCOL page, "Agents to order servers").
 
-use super::MAX_BODY;
+use super::MAX_BODY_BYTES;
 use balancer_core::{LoadReport, Outcome};
 use hyper::body::Body;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -19,7 +19,7 @@
     }
 }
 
-/// Returns whether the length of the body is unambiguous and at most [`MAX_BODY`]. If a response states
+/// Returns whether the length of the body is unambiguous and at most [`MAX_BODY_BYTES`]. If a response states
 /// several lengths, hyper uses one of them, which may be the wrong one. If a response states none, a
 /// truncated body is taken for a complete one.
 pub fn has_valid_length<B: Body>(response: &Response<B>) -> bool {
@@ -27,7 +27,7 @@
     let lengths = headers.get_all(CONTENT_LENGTH).iter().chain(headers.get(TRANSFER_ENCODING)).count();
     let needs_length = response.status() == StatusCode::OK;
     let is_ambiguous = lengths > 1 || (lengths == 0 && needs_length);
-    !is_ambiguous && response.body().size_hint().lower() <= MAX_BODY as u64
+    !is_ambiguous && response.body().size_hint().lower() <= MAX_BODY_BYTES as u64
 }
 
 /// Returns the load report in the header of a response, if there is one.
