--- a/crates/balancer-core/src/balancer/requests.rs
+++ b/crates/balancer-core/src/balancer/requests.rs
@@ -23,8 +23,8 @@
         let shed_order = self.shedder.shed_order(&active);
         let is_too_late = self.timeliness().is_too_late(&active);
         self.requests.insert(id, active);
-        self.suspicion.earn_gossip();
-        self.retry_budget.earn();
+        self.suspicion.refill_gossip_budget();
+        self.retry_budget.refill();
         if is_too_late || !self.admission.admits(shed_order, &self.shedder, &mut self.rng) {
             self.finish_unserved(id);
             return;
@@ -90,7 +90,7 @@
             return;
         }
         if !outcome.proves_not_run() {
-            self.retry_budget.pay();
+            self.retry_budget.spend();
         }
         self.send_or_enqueue(id);
     }
--- a/crates/balancer-core/src/policy/concurrency/tests.rs
+++ b/crates/balancer-core/src/policy/concurrency/tests.rs
@@ -17,7 +17,7 @@
 }
 
 /// Whether a limit that is not scaled down allows one more request while `in_flight` others are in flight.
-fn has_capacity_beside(limit: &ConcurrencyLimit, in_flight: u32) -> bool {
+fn allows_another_request(limit: &ConcurrencyLimit, in_flight: u32) -> bool {
     limit.has_capacity(NOW, in_flight, &UNSCALED)
 }
 
@@ -37,8 +37,8 @@
 fn server_that_has_not_responded_is_limited_to_two_requests() {
     let limit = ConcurrencyLimit::new(NOW);
 
-    assert!(has_capacity_beside(&limit, 1));
-    assert!(!has_capacity_beside(&limit, 2));
+    assert!(allows_another_request(&limit, 1));
+    assert!(!allows_another_request(&limit, 2));
 }
 
 /// A fully used limit takes about five million responses to reach its maximum.
@@ -48,8 +48,8 @@
 
     record_quick_responses(&mut limit, 5_500_000, 2000);
 
-    assert!(has_capacity_beside(&limit, 999));
-    assert!(!has_capacity_beside(&limit, 1000));
+    assert!(allows_another_request(&limit, 999));
+    assert!(!allows_another_request(&limit, 1000));
 }
 
 #[test]
@@ -74,20 +74,20 @@
 
     record_quick_responses(&mut limit, 1000, 0);
 
-    assert!(!has_capacity_beside(&limit, 2));
+    assert!(!allows_another_request(&limit, 2));
 }
 
 #[test]
 fn slow_responses_shrink_the_limit() {
     let mut limit = ConcurrencyLimit::new(NOW);
     record_quick_responses(&mut limit, 1000, 2000);
-    assert!(has_capacity_beside(&limit, 10));
+    assert!(allows_another_request(&limit, 10));
 
     for _ in 0..100 {
         limit.record(&sample(2.0 * TARGET_RATIO.value(), 0), MIN_LIMIT);
     }
 
-    assert!(!has_capacity_beside(&limit, 10));
+    assert!(!allows_another_request(&limit, 10));
 }
 
 #[test]
--- a/crates/balancer-core/src/policy/retry.rs
+++ b/crates/balancer-core/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: where the rules permit another attempt, which retries the budget pays for, and which attempts are
+//! Retries: where the rules permit another attempt, which retries the budget allows, and which attempts are
 //! cancelled so that their requests can be retried.
 
 mod budget;
--- a/crates/balancer-core/src/policy/retry/budget.rs
+++ b/crates/balancer-core/src/policy/retry/budget.rs
@@ -3,17 +3,17 @@
 use crate::policy::fleet::FleetView;
 use crate::policy::token_bucket::TokenBucket;
 
-/// Cost of one retry.
+/// Cost of one retry, in tokens.
 const RETRY_COST: f64 = 1.0;
-/// Amount that each request adds to the budget, in retries.
-const EARNED_PER_REQUEST: f64 = 0.1;
-/// Maximum balance in a dense view, in retries. The balance allows a burst of retries.
-const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Maximum balance in a sparse view, in retries. With a higher maximum, many balancers would all spend more
+/// Tokens that each request adds to the budget.
+const TOKENS_PER_REQUEST: f64 = 0.1;
+/// Maximum balance in a dense view, in tokens. The balance allows a burst of retries.
+const MAX_TOKENS: f64 = 10.0;
+/// Maximum balance in a sparse view, in tokens. With a higher maximum, many balancers would all spend more
 /// retries during the same overload.
-const MAX_SAVED_RETRIES_SPARSE: f64 = 1.0;
+const MAX_TOKENS_SPARSE: f64 = 1.0;
 
-/// A token bucket that requests fill and retries empty.
+/// A token bucket that requests refill and that retries spend.
 pub struct RetryBudget {
     bucket: TokenBucket,
     max_balance: f64,
@@ -22,30 +22,30 @@
 impl RetryBudget {
     /// Creates a full budget for a dense view.
     pub fn new() -> Self {
-        RetryBudget { bucket: TokenBucket::new(MAX_SAVED_RETRIES), max_balance: MAX_SAVED_RETRIES }
+        RetryBudget { bucket: TokenBucket::new(MAX_TOKENS), max_balance: MAX_TOKENS }
     }
 
     /// Sets the maximum balance for a view. A higher balance is kept until the next request arrives, and is
     /// then reduced to the maximum.
     pub fn set_view(&mut self, view: FleetView) {
         self.max_balance = match view {
-            FleetView::Dense => MAX_SAVED_RETRIES,
-            FleetView::Sparse => MAX_SAVED_RETRIES_SPARSE,
+            FleetView::Dense => MAX_TOKENS,
+            FleetView::Sparse => MAX_TOKENS_SPARSE,
         };
     }
 
-    /// Adds the fraction of a retry that one request earns.
-    pub fn earn(&mut self) {
-        self.bucket.earn(EARNED_PER_REQUEST, self.max_balance);
+    /// Adds the tokens for one request.
+    pub fn refill(&mut self) {
+        self.bucket.refill(TOKENS_PER_REQUEST, self.max_balance);
     }
 
-    /// Whether the balance is enough for a retry.
-    pub fn can_pay(&self) -> bool {
+    /// Whether the balance allows a retry.
+    pub fn allows_retry(&self) -> bool {
         self.bucket.balance() >= RETRY_COST
     }
 
-    /// Deducts the cost of a retry.
-    pub fn pay(&mut self) {
+    /// Spends the cost of a retry.
+    pub fn spend(&mut self) {
         self.bucket.spend(RETRY_COST);
     }
 }
--- a/crates/balancer-core/src/policy/retry/budget/tests.rs
+++ b/crates/balancer-core/src/policy/retry/budget/tests.rs
@@ -2,42 +2,42 @@
 
 use super::*;
 
-/// Pays for retries until the budget is exhausted, and returns how many it paid for.
+/// Spends the whole balance on retries, and returns how many it allowed.
 fn spend_all(budget: &mut RetryBudget) -> usize {
-    let mut paid = 0;
-    while budget.can_pay() {
-        budget.pay();
-        paid += 1;
+    let mut retry_count = 0;
+    while budget.allows_retry() {
+        budget.spend();
+        retry_count += 1;
     }
-    paid
+    retry_count
 }
 
 #[test]
-fn a_full_budget_pays_for_ten_retries() {
+fn a_full_budget_allows_ten_retries() {
     assert_eq!(spend_all(&mut RetryBudget::new()), 10);
 }
 
 #[test]
-fn more_than_ten_requests_earn_a_retry() {
+fn more_than_ten_requests_refill_the_budget_for_a_retry() {
     let mut budget = RetryBudget::new();
     spend_all(&mut budget);
 
     for _ in 0..9 {
-        budget.earn();
+        budget.refill();
     }
-    assert!(!budget.can_pay());
+    assert!(!budget.allows_retry());
 
-    budget.earn();
-    budget.earn();
-    assert!(budget.can_pay());
+    budget.refill();
+    budget.refill();
+    assert!(budget.allows_retry());
 }
 
 #[test]
-fn a_sparse_view_saves_up_a_single_retry() {
+fn a_sparse_view_limits_the_balance_to_a_single_retry() {
     let mut budget = RetryBudget::new();
 
     budget.set_view(FleetView::Sparse);
-    budget.earn();
+    budget.refill();
 
     assert_eq!(spend_all(&mut budget), 1);
 }
--- a/crates/balancer-core/src/policy/retry/decision.rs
+++ b/crates/balancer-core/src/policy/retry/decision.rs
@@ -7,8 +7,8 @@
 use crate::{Effect, Outcome};
 
 /// Whether a request is retried after an attempt that ended with `outcome` and without a final response. A
-/// retry must be permitted by the rules, must be able to get a response in time, and must be paid for by the
-/// budget. A retry of an attempt that certainly did not run is free.
+/// retry must be permitted by the rules, must be able to get a response in time, and must be allowed by the
+/// budget. A retry of an attempt that certainly did not run spends nothing of the budget.
 pub fn may_retry(
     active: &ActiveRequest,
     outcome: Outcome,
@@ -17,12 +17,12 @@
 ) -> bool {
     let permission = AttemptPermission::of(timeliness.settings, active, timeliness.now);
     let is_permitted = permission.scope != RetryScope::Nowhere;
-    let is_paid_for = outcome.proves_not_run() || budget.can_pay();
-    is_permitted && is_paid_for && !timeliness.is_too_late(active)
+    let is_within_budget = outcome.proves_not_run() || budget.allows_retry();
+    is_permitted && is_within_budget && !timeliness.is_too_late(active)
 }
 
 /// Whether an overdue attempt is cancelled so that its request is retried on another server. The attempt must
-/// be the last one of the request. The retry must be permitted, must be paid for by the budget, and must be
+/// be the last one of the request. The retry must be permitted, must be allowed by the budget, and must be
 /// able to get a response in time.
 pub fn may_cancel_and_retry(
     active: &ActiveRequest,
@@ -31,9 +31,9 @@
     timeliness: &Timeliness<'_>,
 ) -> bool {
     let settings = timeliness.settings;
-    let allows_retry = settings.class(active.class()).effect != Effect::AtMostOnce;
+    let effect_allows_retry = settings.class(active.class()).effect != Effect::AtMostOnce;
     let is_last_attempt = attempt.attempt.0 as usize + 1 == active.attempts.len();
     let has_attempts_left = active.attempts.len() < settings.max_attempts as usize;
-    let is_permitted = allows_retry && is_last_attempt && has_attempts_left && settings.allows_cancel;
-    is_permitted && budget.can_pay() && !timeliness.is_too_late(active)
+    let is_permitted = effect_allows_retry && is_last_attempt && has_attempts_left && settings.allows_cancel;
+    is_permitted && budget.allows_retry() && !timeliness.is_too_late(active)
 }
--- a/crates/balancer-core/src/policy/suspicion/gossip.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip.rs
@@ -6,14 +6,14 @@
 /// Maximum number of peers that are notified of a suspected server.
 const MAX_RECEIVERS: u32 = 64;
 /// Bytes that each request adds to the budget.
-const EARNED_BYTES_PER_REQUEST: f64 = 25.0;
-/// Maximum balance of the budget.
-const MAX_SAVED_BYTES: f64 = 512.0;
+const BYTES_PER_REQUEST: f64 = 25.0;
+/// Maximum balance of the budget, in bytes.
+const MAX_BALANCE_BYTES: f64 = 512.0;
 
 /// Length of a message, which consists of the suspected server's id in big-endian byte order.
 const MESSAGE_BYTES: usize = size_of::<u32>();
 
-/// The budget of bytes that gossip messages are paid from.
+/// The budget of bytes for gossip messages.
 pub struct GossipBudget {
     bytes: TokenBucket,
 }
@@ -21,21 +21,21 @@
 impl GossipBudget {
     /// Creates a full budget.
     pub fn new() -> Self {
-        GossipBudget { bytes: TokenBucket::new(MAX_SAVED_BYTES) }
+        GossipBudget { bytes: TokenBucket::new(MAX_BALANCE_BYTES) }
     }
 
-    /// Adds the bytes that one request earns.
-    pub fn earn(&mut self) {
-        self.bytes.earn(EARNED_BYTES_PER_REQUEST, MAX_SAVED_BYTES);
+    /// Adds the bytes for one request.
+    pub fn refill(&mut self) {
+        self.bytes.refill(BYTES_PER_REQUEST, MAX_BALANCE_BYTES);
     }
 
-    /// Pays for as many messages as the budget allows, and returns their receivers, drawn at random from all
-    /// balancers.
-    pub fn pay_for_receivers(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Vec<PeerId> {
+    /// Draws the receivers of as many messages as the balance allows, at random from all balancers. Spends
+    /// the bytes of these messages.
+    pub fn draw_receivers(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Vec<PeerId> {
         let message_cost = MESSAGE_BYTES as f64;
-        let affordable = (self.bytes.balance() / message_cost) as u32;
+        let allowed_messages = (self.bytes.balance() / message_cost) as u32;
         let other_balancers = settings.balancer_count - 1;
-        let count = affordable.min(MAX_RECEIVERS).min(other_balancers);
+        let count = allowed_messages.min(MAX_RECEIVERS).min(other_balancers);
         let mut receivers = Vec::with_capacity(count as usize);
         for _ in 0..count {
             self.bytes.spend(message_cost);
--- a/crates/balancer-core/src/policy/suspicion/gossip/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip/tests.rs
@@ -23,20 +23,20 @@
 fn at_most_sixty_four_peers_are_notified_and_no_more_than_there_are() {
     let mut rng = fastrand::Rng::with_seed(1);
 
-    assert_eq!(GossipBudget::new().pay_for_receivers(&settings(1000), &mut rng).len(), 64);
-    assert_eq!(GossipBudget::new().pay_for_receivers(&settings(10), &mut rng).len(), 9);
+    assert_eq!(GossipBudget::new().draw_receivers(&settings(1000), &mut rng).len(), 64);
+    assert_eq!(GossipBudget::new().draw_receivers(&settings(10), &mut rng).len(), 9);
 }
 
-/// A message has 4 bytes. The initial 512 bytes pay for two rounds of 64 messages; the 25 bytes that one
-/// request earns then pay for 6 more.
+/// A message has 4 bytes. The initial 512 bytes allow two rounds of 64 messages; the 25 bytes that one
+/// request adds then allow 6 more.
 #[test]
-fn messages_are_paid_from_a_budget_that_requests_earn() {
+fn messages_spend_a_budget_that_requests_refill() {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut gossip_budget = GossipBudget::new();
-    let mut notified = || gossip_budget.pay_for_receivers(&settings(1000), &mut rng).len();
+    let mut notified = || gossip_budget.draw_receivers(&settings(1000), &mut rng).len();
     assert_eq!([notified(), notified(), notified()], [64, 64, 0]);
 
-    gossip_budget.earn();
+    gossip_budget.refill();
 
-    assert_eq!(gossip_budget.pay_for_receivers(&settings(1000), &mut rng).len(), 6);
+    assert_eq!(gossip_budget.draw_receivers(&settings(1000), &mut rng).len(), 6);
 }
--- a/crates/balancer-core/src/policy/suspicion/tracker.rs
+++ b/crates/balancer-core/src/policy/suspicion/tracker.rs
@@ -27,9 +27,9 @@
         SuspicionTracker { zone_links: ZoneLinks::default(), gossip_budget: GossipBudget::new() }
     }
 
-    /// Adds the bytes that one request earns to the gossip budget.
-    pub fn earn_gossip(&mut self) {
-        self.gossip_budget.earn();
+    /// Adds the bytes for one request to the gossip budget.
+    pub fn refill_gossip_budget(&mut self) {
+        self.gossip_budget.refill();
     }
 
     /// Whether the server is suspected, either by itself or because the link to its zone is down.
@@ -59,7 +59,7 @@
             return Vec::new();
         }
         let payload = encode(server.endpoint.server);
-        let receivers = self.gossip_budget.pay_for_receivers(settings, rng);
+        let receivers = self.gossip_budget.draw_receivers(settings, rng);
         receivers.into_iter().map(|to| GossipMessage { to, payload: payload.to_vec() }).collect()
     }
 
--- a/crates/balancer-core/src/policy/token_bucket.rs
+++ b/crates/balancer-core/src/policy/token_bucket.rs
@@ -18,7 +18,7 @@
     }
 
     /// Adds `amount` to the balance, which is then limited to `max`.
-    pub fn earn(&mut self, amount: f64, max: f64) {
+    pub fn refill(&mut self, amount: f64, max: f64) {
         self.balance = (self.balance + amount).min(max);
     }
 
--- a/crates/balancer-core/src/policy/token_bucket/tests.rs
+++ b/crates/balancer-core/src/policy/token_bucket/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of how a token bucket earns and spends its balance.
+//! Tests of how the balance of a token bucket is refilled and spent.
 
 use super::*;
 
 #[test]
-fn earning_adds_and_spending_subtracts() {
+fn refilling_adds_and_spending_subtracts() {
     let mut bucket = TokenBucket::new(1.0);
 
-    bucket.earn(0.5, 10.0);
+    bucket.refill(0.5, 10.0);
     assert_eq!(bucket.balance(), 1.5);
 
     bucket.spend(1.0);
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn earnings_over_the_maximum_are_lost() {
+fn refilling_over_the_maximum_adds_no_more_tokens() {
     let mut bucket = TokenBucket::new(9.75);
 
-    bucket.earn(0.5, 10.0);
+    bucket.refill(0.5, 10.0);
 
     assert_eq!(bucket.balance(), 10.0);
 }
@@ -26,7 +26,7 @@
 fn lower_maximum_reduces_the_balance() {
     let mut bucket = TokenBucket::new(10.0);
 
-    bucket.earn(0.5, 1.0);
+    bucket.refill(0.5, 1.0);
 
     assert_eq!(bucket.balance(), 1.0);
 }
