--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -1,8 +1,8 @@
 //! The driver connects the [`Balancer`] to real sockets. It passes events to the balancer and carries out the
 //! actions that the balancer returns.
 //!
-//! The balancer makes all decisions. The driver runs on one thread, so the actions of an event are carried
-//! out before the next event is handled. Carrying out an action never calls the balancer directly: the
+//! The balancer makes all decisions. The driver runs on one thread and carries out all actions of an event
+//! before the balancer handles the next event. Carrying out an action never calls the balancer directly: the
 //! results of the action are queued as events.
 
 mod endpoint_watch;
@@ -39,12 +39,13 @@
 /// The interval at which connections that have been idle for too long are closed.
 const CLOSE_STALE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs a balancer: queues its events, carries out its actions, and tracks the requests in progress.
+/// A running balancer, with the connections, timers and requests that its actions refer to.
 pub struct Driver {
     clock: Clock,
     host_settings: HostSettings,
     /// The effect of each request class, indexed by [`ClassId`].
     effects: Vec<Effect>,
+    /// The balancer and the events that it has not handled yet.
     events: RefCell<EventQueue>,
     timers: Timers,
     requests: RefCell<RequestTracker>,
@@ -62,8 +63,10 @@
 }
 
 impl Driver {
-    /// Creates a driver that starts with the cached endpoint list of the configuration and holds at most
-    /// `max_connections` connections to servers at a time.
+    /// Creates a driver and starts its balancer with the cached endpoint list of the configuration. The
+    /// driver holds at most `max_connections` connections to servers at a time.
+    ///
+    /// Timers are handled only while [`Driver::run`] runs.
     ///
     /// # Errors
     ///
@@ -122,7 +125,7 @@
         submitted
     }
 
-    /// Closes a request that needs no final response any more, because the client has disconnected or the
+    /// Closes a request that no longer needs a final response, because the client has disconnected or the
     /// agent has stopped waiting. Has no effect on a request that is already closed.
     pub fn disconnect(self: &Rc<Self>, request: RequestId) {
         let was_pending = self.requests.borrow_mut().disconnect(request);
@@ -159,6 +162,7 @@
         }
     }
 
+    /// Queues an event, and lets the balancer handle all queued events.
     fn handle_event(self: &Rc<Self>, event: Event) {
         self.events.borrow_mut().push(event);
         self.handle_events();
@@ -249,8 +253,8 @@
         eprintln!("{}", format_notice(notice, endpoint_watch.server_names()));
     }
 
-    /// Applies a received endpoint list to the connection pool, and returns its entries as the balancer
-    /// expects them.
+    /// Applies a received endpoint list to the server names and the connection pool, and returns the entries
+    /// of the list in the balancer's type.
     fn update_servers(&self, list: &EndpointList) -> Vec<Endpoint> {
         let pool = self.client.pool();
         self.endpoint_watch.borrow_mut().update_servers(list, &self.host_settings, pool)
--- a/crates/balancer-agent/src/driver/endpoint_watch.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list and translates its entries into the balancer's types.
+//! The watch of the endpoint list, whose entries are translated into the balancer's types.
 
 mod server_list;
 mod server_names;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use translation::translate;
 
-/// The watch of the endpoint list, and the ids of the servers in the list.
+/// The watch of the endpoint list, and the names and ids of the servers in the list.
 pub struct EndpointWatch {
     discovery: Discovery,
     names: RetainedServerNames,
@@ -44,8 +44,8 @@
         &self.names
     }
 
-    /// Applies a received list to the server names and the connection pool, and returns its entries as the
-    /// balancer expects them.
+    /// Applies a received list to the server names and the connection pool, and returns the entries of the
+    /// list in the balancer's type.
     pub fn update_servers(
         &mut self,
         list: &EndpointList,
--- a/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
@@ -1,4 +1,4 @@
-//! The ids of the servers in the endpoint list.
+//! The names and ids of the servers in the endpoint list and of recently removed servers.
 
 use super::server_list::ServerList;
 use balancer_core::{EndpointStatus, ServerId};
@@ -8,22 +8,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the id of a removed server stays reserved for its name. This is longer than the balancer keeps
-/// the state of a removed server: a new server whose name hashes to the same id must not be mistaken for the
-/// removed one.
+/// How long the id of a removed server stays reserved for its name. The balancer keeps the state of a removed
+/// server for a shorter time. If it kept the state for longer, a new server whose name hashes to the same id
+/// would be taken for the removed server.
 const NAME_RETENTION: Duration = Duration::from_secs(30);
 
-/// Maps the names of servers to their ids and back. Contains the servers in the endpoint list and the
+/// A mapping between the names and ids of servers. It contains the servers in the endpoint list and the
 /// recently removed servers.
 #[derive(Default)]
 pub struct RetainedServerNames {
     names: ServerNames,
-    /// When each server that is no longer in the list was removed.
+    /// The time at which each server that is no longer in the list was removed.
     removed_at: HashMap<ServerId, Instant>,
 }
 
 impl RetainedServerNames {
-    /// Returns the id of the server with this name. An unknown name is assigned an id, which is logged.
+    /// Returns the id of the server with this name. If the name is unknown, assigns an id to it and logs the
+    /// id.
     pub fn intern(&mut self, name: &str) -> ServerId {
         if let Some(server) = self.names.find(name) {
             return server;
--- a/crates/balancer-agent/src/driver/endpoint_watch/translation.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/translation.rs
@@ -1,4 +1,4 @@
-//! Translates the endpoint list into the balancer's types.
+//! The translation of the endpoint list into the balancer's types.
 
 use super::server_list::ServerList;
 use super::server_names::RetainedServerNames;
@@ -37,8 +37,9 @@
     }
 }
 
-/// Returns the index of a name in the settings. The index of an unknown name is derived from the hash of the
-/// name and lies above the known indices, so that two unknown zones, for example, are not taken for the same.
+/// Returns the index of a name in `names`. The index of an unknown name lies above those of the known names
+/// and is derived from the hash of the name. Servers in two unknown zones, for example, are therefore not
+/// taken for servers in the same zone.
 fn index_of(names: &[String], name: &str) -> u32 {
     let index = names.iter().position(|known| known == name);
     index.unwrap_or_else(|| names.len() + (hash_name(name) as u32 >> 1) as usize) as u32
--- a/crates/balancer-agent/src/driver/notice_text.rs
+++ b/crates/balancer-agent/src/driver/notice_text.rs
@@ -1,4 +1,4 @@
-//! Formats the balancer's notices as log lines.
+//! The texts of the balancer's notices in the log.
 
 use super::endpoint_watch::RetainedServerNames;
 use balancer_core::{Notice, ServerId};
@@ -17,7 +17,7 @@
     }
 }
 
-/// Returns the name of a server, or its id if the name has been forgotten.
+/// Returns the name of a server, or a text with its id if the name has been forgotten.
 fn name_of(server: ServerId, names: &RetainedServerNames) -> String {
     names.name(server).map_or_else(|| format!("number {}", server.0), str::to_owned)
 }
--- a/crates/balancer-agent/src/driver/outgoing.rs
+++ b/crates/balancer-agent/src/driver/outgoing.rs
@@ -1,4 +1,4 @@
-//! Builds the request that is sent to a server for a client's request.
+//! The request that is sent to a server for a client's request.
 
 use crate::request::ClientRequest;
 use bytes::Bytes;
@@ -7,11 +7,11 @@
 use hyper::{Method, Request};
 use std::time::Duration;
 
-/// The header that states how long the sender waits for the response.
+/// The header that states how long the sender of a request waits for the response.
 const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-timeout");
 
 /// Returns a copy of the client's request, with a header that states how long the agent waits for the
-/// response.
+/// response, in microseconds.
 pub fn build_outgoing_request(request: &ClientRequest, timeout: Duration) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
--- a/crates/balancer-agent/src/driver/requests.rs
+++ b/crates/balancer-agent/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Tracks the requests of clients and the attempts that are sent for them.
+//! The pending requests of clients and the attempts in flight.
 
 mod attempts;
 mod pending;
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// An attempt that is ready to be sent.
+/// An attempt that is tracked as in flight and that the caller must send.
 pub struct StartedAttempt {
     /// The id of the attempt.
     pub id: AttemptId,
@@ -25,11 +25,11 @@
     pub progress: Rc<AttemptProgress>,
 }
 
-/// Tracks pending requests and the attempts in flight.
+/// The pending requests and the attempts in flight.
 ///
-/// A request is pending from [`RequestTracker::open`] until it is closed, by its final response or because
-/// its client has disconnected. The client receives at most one final response. When a request is closed, its
-/// attempts that have not been written completely are cancelled.
+/// A request is pending from [`RequestTracker::open`] until it is closed. It is closed by its final response,
+/// or by [`RequestTracker::disconnect`] if it no longer needs one. The client receives at most one final
+/// response. When a request is closed, its attempts that have not been written completely are cancelled.
 #[derive(Default)]
 pub struct RequestTracker {
     pending: PendingRequests,
@@ -37,7 +37,7 @@
 }
 
 impl RequestTracker {
-    /// Adds a request, which is pending from now on.
+    /// Adds a request, which is pending from now on. The returned handle receives the final response.
     pub fn open(&mut self, request: Rc<ClientRequest>) -> SubmittedRequest {
         self.pending.open(request)
     }
@@ -47,17 +47,20 @@
         self.pending.contains(id)
     }
 
-    /// Closes a request whose client has disconnected. Returns `false` if the request was closed already.
+    /// Closes a request that no longer needs a final response. Returns `false` if the request was closed
+    /// already.
     pub fn disconnect(&mut self, id: RequestId) -> bool {
         self.close(id).is_some()
     }
 
-    /// Rejects a request as its final response.
+    /// Closes a request with a rejection as its final response. Has no effect if the request is closed
+    /// already.
     pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>) {
         self.respond(id, FinalResponse::Rejected { retry_after });
     }
 
-    /// Fails a request as its final response. The status code states whether the last attempt timed out.
+    /// Closes a request with a failure as its final response. The status is 504 if the attempt that ended
+    /// last timed out, and 502 otherwise. Has no effect if the request is closed already.
     pub fn fail(&mut self, id: RequestId) {
         let has_timed_out = self.pending.last_attempt_timed_out(id);
         let status = if has_timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Closes a request and sends its final response, unless it was closed already.
+    /// Closes a request and sends its final response. Has no effect if the request is closed already.
     fn respond(&mut self, id: RequestId, response: FinalResponse) {
         if let Some(response_sender) = self.close(id) {
             // Sending fails if the client has just disconnected. The response is not needed then.
--- a/crates/balancer-agent/src/driver/requests/attempts.rs
+++ b/crates/balancer-agent/src/driver/requests/attempts.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Identifies an attempt among all attempts that the driver has sent.
+/// The identifier of an attempt among all attempts that the driver has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The request that the attempt belongs to.
@@ -38,8 +38,9 @@
         }
     }
 
-    /// Cancels the attempts of a request that have not been written completely, which no server can have run.
-    /// The other attempts continue. `attempts_started` is the number of attempts that the request has had.
+    /// Cancels the attempts of a request that have not been written completely. No server can have run these
+    /// attempts. The other attempts continue. `attempts_started` is the number of attempts that have been
+    /// started for the request.
     pub fn cancel_unwritten(&self, request: RequestId, attempts_started: u32) {
         for attempt in (0..attempts_started).map(AttemptNumber) {
             let progress = self.progress.get(&AttemptId { request, attempt });
--- a/crates/balancer-agent/src/driver/requests/pending.rs
+++ b/crates/balancer-agent/src/driver/requests/pending.rs
@@ -1,4 +1,4 @@
-//! The requests that have had no final response yet.
+//! The requests that still need a final response.
 
 use super::attempts::AttemptId;
 use crate::request::{ClientRequest, FinalResponse, SubmittedRequest};
@@ -12,6 +12,7 @@
     request: Rc<ClientRequest>,
     response_sender: oneshot::Sender<FinalResponse>,
     attempts_started: u32,
+    /// Whether the attempt that ended last timed out; `false` if no attempt has ended.
     last_attempt_timed_out: bool,
 }
 
@@ -23,7 +24,7 @@
     pub attempts_started: u32,
 }
 
-/// An attempt that is about to be sent.
+/// The next attempt of a request, which has been assigned its number.
 pub struct NextAttempt {
     /// The id of the attempt.
     pub id: AttemptId,
@@ -55,7 +56,7 @@
         self.requests.contains_key(&id)
     }
 
-    /// Returns whether a request is pending and its last attempt timed out.
+    /// Returns whether a request is pending and its attempt that ended last timed out.
     pub fn last_attempt_timed_out(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|pending| pending.last_attempt_timed_out)
     }
--- a/crates/balancer-agent/src/driver/timers.rs
+++ b/crates/balancer-agent/src/driver/timers.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Timers {
     pending: RefCell<BinaryHeap<Reverse<(Time, TimerId)>>>,
-    /// Notified when a new timer is due before all others.
+    /// The notification that a new timer is due before all others.
     soonest_changed: Notify,
 }
 
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Removes and returns the next timer, or returns `None` if no timer is due.
+    /// Removes and returns the timer that was due first, or returns `None` if no timer is due.
     pub fn pop_due(&self, now: Time) -> Option<TimerId> {
         self.next_due().filter(|at| *at <= now)?;
         let Reverse((_, timer)) = self.pending.borrow_mut().pop()?;
         Some(timer)
     }
 
-    /// Waits until the next timer is due, but not after `latest`. Also returns when a timer is set that is
+    /// Waits until the next timer is due, but not after `latest`. Returns early when a timer is set that is
     /// due before all others.
     pub async fn wait(&self, clock: &Clock, latest: Instant) {
         let next_due = self.next_due().map(|at| clock.instant_of(at));
