--- a/crates/balancer-agent/src/upstream/attempt.rs
+++ b/crates/balancer-agent/src/upstream/attempt.rs
@@ -14,34 +14,35 @@
     /// The deadline for writing the last byte of the attempt, if there is one.
     write_by: Option<Instant>,
     /// The state of the write to the connection; `None` until a connection has been acquired.
-    request: RefCell<Option<RequestWrite>>,
+    request_write: RefCell<Option<RequestWrite>>,
     is_cancelled: Cell<bool>,
+    /// The notification that the attempt has been cancelled.
     cancelled: Notify,
 }
 
 impl AttemptProgress {
-    /// Creates the progress of an attempt that has not been started. Bytes that have not been written by
-    /// `write_by` are never written.
+    /// Creates the progress of an attempt of which nothing has been written. Bytes that have not been written
+    /// by `write_by` are never written.
     pub fn new(write_by: Option<Instant>) -> Self {
         AttemptProgress { write_by, ..AttemptProgress::default() }
     }
 
     /// Records that the request is about to be written to a connection.
-    pub fn start_writing(&self, request: RequestWrite) {
-        request.set_write_by(self.write_by);
-        *self.request.borrow_mut() = Some(request);
+    pub fn start_writing(&self, request_write: RequestWrite) {
+        request_write.set_write_by(self.write_by);
+        *self.request_write.borrow_mut() = Some(request_write);
     }
 
     /// Returns whether the server may have run the request, because the last byte may have been written.
     pub fn may_have_run(&self) -> bool {
-        self.request.borrow().as_ref().is_some_and(RequestWrite::may_be_complete)
+        self.request_write.borrow().as_ref().is_some_and(RequestWrite::may_be_complete)
     }
 
     /// Cancels the attempt. Bytes that have not been written are never written.
     pub fn cancel(&self) {
         self.is_cancelled.set(true);
-        if let Some(request) = &*self.request.borrow() {
-            request.stop_writing();
+        if let Some(request_write) = &*self.request_write.borrow() {
+            request_write.stop_writing();
         }
         self.cancelled.notify_one();
     }
@@ -68,7 +69,7 @@
 }
 
 impl AttemptResult {
-    /// Creates the result of an attempt that has received no response.
+    /// Creates a result with neither a response nor a load report.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult { outcome, load_report: None, response: None }
     }
--- a/crates/balancer-agent/src/upstream/client.rs
+++ b/crates/balancer-agent/src/upstream/client.rs
@@ -1,4 +1,4 @@
-//! Sends attempts and health checks to servers.
+//! The client that sends attempts and health checks to servers.
 
 use super::attempt::{AttemptProgress, AttemptResult};
 use super::pool::{Connection, ConnectionPool, REUSE_DELAY};
@@ -16,21 +16,21 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// How long a health check may take before it has timed out.
+/// How long a health check may take before it times out.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// The path of health checks if servers send no load reports.
 const HEALTH_PATH: &str = "/health";
 /// The path of health checks whose responses contain a load report.
 const LOAD_PATH: &str = "/status/load";
 /// The maximum number of bytes that are read for one response: the body with its framing, the head, and the
-/// heads of preceding 1xx responses. A server that sends more violates the protocol, even if each part is
-/// well formed.
+/// heads of preceding 1xx responses. A server that sends more violates the protocol, even if the head and the
+/// body are each small enough.
 const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BODY_BYTES + MAX_HEAD_BYTES) as u64;
 
-/// The connection broke, or the server violated the protocol, before the exchange was complete.
+/// The error of an exchange whose connection broke or whose server violated the protocol.
 struct ExchangeError;
 
-/// Sends attempts and health checks to servers over pooled connections.
+/// A client that sends attempts and health checks to servers over pooled connections.
 pub struct ServerClient {
     pool: Rc<ConnectionPool>,
     /// The names of the fields of a load report; empty if servers send no load reports.
@@ -65,7 +65,8 @@
                 Err(_) => Outcome::TimedOut,
             },
         };
-        // Whether the server may have run the request depends only on the bytes that have been written.
+        // If the last byte has not been written, the server cannot have run the request, whatever ended the
+        // attempt. The outcome must state that.
         let outcome = if progress.may_have_run() {
             failure
         } else if progress.is_cancelled() {
@@ -86,7 +87,8 @@
             Ok(connection) => connection,
             Err(outcome) => return Ok(AttemptResult::without_response(outcome)),
         };
-        // The attempt may have been cancelled or the server removed while the connection was being opened.
+        // While the connection was being acquired, the attempt may have been cancelled, and the server may
+        // have restarted, been removed, or stopped accepting requests.
         if progress.is_cancelled() || !self.pool.is_current(&connection) {
             self.pool.release(connection);
             return Ok(AttemptResult::without_response(Outcome::NotSent));
@@ -101,6 +103,7 @@
         let result = timeout(HEALTH_CHECK_TIMEOUT, self.try_health_check(server)).await;
         let result = result.unwrap_or(Err(Outcome::TimedOut));
         let mut check = result.unwrap_or_else(AttemptResult::without_response);
+        // The response to a health check carries the load report in a header or in the body.
         if let (None, Some(response)) = (&check.load_report, &check.response) {
             let text = std::str::from_utf8(&response.body).ok();
             check.load_report = text.and_then(|text| parse_load_report(text, &self.load_report_fields));
@@ -118,7 +121,8 @@
         result.map_err(|ExchangeError| Outcome::ConnectionReset)
     }
 
-    /// Sends a request over a connection and reads the complete response.
+    /// Sends a request over a connection and reads the response. The body is read only if the whole request
+    /// has been written.
     async fn exchange(
         &self,
         mut connection: Connection,
@@ -130,8 +134,9 @@
         let outcome = outcome_of(&response);
         let load_report = load_report_of(&response, &self.load_report_fields);
         if !request_write.may_be_complete() {
-            // The server must not receive the rest of a request that it has already rejected. A success that
-            // arrives before the last byte has been written cannot be the response to this request.
+            // The server has responded before the last byte of the request was written. The server must not
+            // receive the rest of a request that it has already rejected. A success cannot be the response to
+            // a request that the server has not received completely.
             request_write.stop_writing();
             if outcome == Outcome::Success {
                 return Err(ExchangeError);
@@ -147,10 +152,11 @@
         Ok(AttemptResult { outcome, load_report, response })
     }
 
-    /// Releases a connection to the pool as soon as the connection can carry another request. If the server
-    /// has sent more than the response, hyper closes the connection instead. The response is valid in either
-    /// case, so this function does not wait for the connection. A connection that is not ready within
-    /// [`REUSE_DELAY`] is closed.
+    /// Releases a connection to the pool as soon as the connection can carry another request.
+    ///
+    /// If the server has sent more than the response, hyper closes the connection instead. The response is
+    /// valid in either case, so this function does not wait for the connection. A connection that is not
+    /// ready within [`REUSE_DELAY`] is closed.
     fn release_when_ready(&self, mut connection: Connection) {
         if connection.is_ready() {
             self.pool.release(connection);
@@ -168,7 +174,7 @@
     }
 }
 
-/// Reads the body of a response. A body that breaks off or exceeds [`MAX_BODY_BYTES`] is an error.
+/// Reads the body of a response. Returns an error if the body is truncated or exceeds [`MAX_BODY_BYTES`].
 async fn read_response(response: Response<Incoming>) -> Result<ServedResponse, ExchangeError> {
     let content_type = response.headers().get(CONTENT_TYPE).cloned();
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
--- a/crates/balancer-agent/src/upstream/client/tests.rs
+++ b/crates/balancer-agent/src/upstream/client/tests.rs
@@ -49,7 +49,7 @@
     stream
 }
 
-/// Guards against a server that responds twice to one request: the second response must not be taken for the
+/// Guards against a server that responds twice to one request. The second response must not be taken for the
 /// response to the next request. The pool delays the reuse of the connection. The second response arrives
 /// meanwhile, and the next request is sent over another connection.
 #[tokio::test(start_paused = true)]
--- a/crates/balancer-agent/src/upstream/counting_stream.rs
+++ b/crates/balancer-agent/src/upstream/counting_stream.rs
@@ -1,5 +1,5 @@
-//! A socket that counts the bytes written to it. The count shows whether a server may have run a request
-//! whose connection broke.
+//! A socket that counts the bytes written to it and limits reads and writes. The count shows whether a server
+//! may have run a request whose connection broke.
 
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -25,9 +25,9 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// The longest time that a connection stays idle, as a fraction of the time after which the server closes it.
-/// If the server closes the connection while a request is being written to it, the attempt ends as a
-/// connection reset, and the request may or may not have run.
+/// The maximum idle time of a connection, as a fraction of the idle time after which the server closes it. If
+/// the server closes a connection while a request is being written to it, the attempt ends as a connection
+/// reset, and the request may or may not have run.
 const MAX_IDLE_FRACTION: f64 = 0.7;
 
 /// The limits of a connection pool.
@@ -35,24 +35,24 @@
 pub struct PoolLimits {
     /// The maximum number of connections at a time, including those that are being opened.
     pub max_connections: usize,
-    /// How long opening a connection may take before it has failed.
+    /// How long opening a connection may take before it fails.
     pub connect_timeout: Duration,
     /// How long a connection may be idle before the server closes it.
     pub keepalive: Duration,
 }
 
-/// The result of looking for an idle connection.
-enum Acquired {
-    /// An idle connection, ready for a request.
-    Connection(Connection),
-    /// There are idle connections, but none can be reused before this time.
+/// The result of looking for an idle connection to a server.
+enum IdleLookup {
+    /// An idle connection, which is ready for a request.
+    Found(Connection),
+    /// The server has idle connections, but none can be reused before this time.
     ReusableAt(Instant),
-    /// There is no idle connection, and a new one must be opened to this target.
+    /// The server has no idle connection, and a new one must be opened to this target.
     MustConnect(ConnectionTarget),
 }
 
-/// Holds the addresses of all servers and the idle connections to them, opens new connections and limits
-/// their number.
+/// A pool of connections to servers. It holds the addresses of all servers and the idle connections to them,
+/// opens new connections, and limits the number of connections.
 pub struct ConnectionPool {
     connect_timeout: Duration,
     max_idle_time: Duration,
@@ -81,8 +81,7 @@
     }
 
     /// Applies an entry of the endpoint list. The server's idle connections are closed if the server has a
-    /// new address or a new process or is draining. A removed server is forgotten. Exchanges in progress
-    /// continue.
+    /// new address, has restarted, is draining, or is removed. Exchanges in progress continue.
     pub fn update_server(&self, server: ServerId, entry: &EndpointEntry) {
         if entry.status == EntryStatus::Removed {
             self.remove_server(server);
@@ -97,16 +96,17 @@
             Entry::Vacant(vacant) => {
                 vacant.insert(PooledServer::new(server, entry, next_incarnation));
             }
-            Entry::Occupied(mut pooled) => {
-                if let Some(previous_address) = pooled.get_mut().update(entry, next_incarnation) {
+            Entry::Occupied(mut occupied) => {
+                if let Some(previous_address) = occupied.get_mut().update(entry, next_incarnation) {
                     self.servers_by_address.borrow_mut().unassign(previous_address, server);
                 }
             }
         }
     }
 
-    /// Assigns an address to a server. If another server had the address, its process there has ended, even
-    /// if the endpoint list has not stated that, and connections to it are no longer used for that server.
+    /// Assigns an address to a server. If the address belonged to another server, the process of that server
+    /// has ended, even if the endpoint list does not state this yet. A new incarnation of that server
+    /// prevents the further use of connections to the ended process.
     fn assign_address(&self, address: SocketAddr, server: ServerId) {
         let previous = self.servers_by_address.borrow_mut().assign(address, server);
         let mut servers = self.servers.borrow_mut();
@@ -146,41 +146,45 @@
         }
     }
 
-    /// Returns the most recently used idle connection that can be reused. If the server has idle connections
-    /// but none can be reused yet, waits until one can. If the server has none, opens a new connection.
+    /// Returns a connection to a server for an exchange.
+    ///
+    /// The connection is the most recently used idle connection that can be reused. If the server has idle
+    /// connections but none can be reused yet, waits until one can. If the server has no idle connection,
+    /// opens a new connection.
     ///
     /// # Errors
     ///
     /// * [`Outcome::NotSent`] if no connection slot is free, the server's address is unknown or the server
     ///   accepts no new requests. None of these counts as a failure of the server.
-    /// * [`Outcome::ConnectFailed`] if no connection could be opened in time.
+    /// * [`Outcome::ConnectFailed`] if the connection could not be opened in time.
     pub async fn acquire(self: &Rc<Self>, server: ServerId) -> Result<Connection, Outcome> {
         loop {
-            match self.try_acquire(server)? {
-                Acquired::Connection(connection) => return Ok(connection),
-                Acquired::ReusableAt(reusable_at) => sleep_until(reusable_at).await,
-                Acquired::MustConnect(target) => return self.connect(target).await,
+            match self.take_idle(server)? {
+                IdleLookup::Found(connection) => return Ok(connection),
+                IdleLookup::ReusableAt(reusable_at) => sleep_until(reusable_at).await,
+                IdleLookup::MustConnect(target) => return self.connect(target).await,
             }
         }
     }
 
-    fn try_acquire(&self, server: ServerId) -> Result<Acquired, Outcome> {
+    /// Removes and returns an idle connection to a server if one can be reused now.
+    fn take_idle(&self, server: ServerId) -> Result<IdleLookup, Outcome> {
         let mut servers = self.servers.borrow_mut();
         let pooled = servers.get_mut(&server).filter(|pooled| pooled.is_serving()).ok_or(Outcome::NotSent)?;
         let idle = pooled.idle_mut();
         idle.close_unusable(self.max_idle_time);
         if let Some(connection) = idle.pop_reusable() {
-            return Ok(Acquired::Connection(connection));
+            return Ok(IdleLookup::Found(connection));
         }
         if let Some(reusable_at) = idle.next_reusable_at() {
-            return Ok(Acquired::ReusableAt(reusable_at));
+            return Ok(IdleLookup::ReusableAt(reusable_at));
         }
         let target = pooled.target().ok_or(Outcome::NotSent)?;
-        Ok(Acquired::MustConnect(target))
+        Ok(IdleLookup::MustConnect(target))
     }
 
-    /// Opens a connection in a separate task. If the attempt is cancelled meanwhile, the connection is kept
-    /// for the next attempt, because opening it has cost the server work.
+    /// Opens a connection in a separate task. If the caller stops waiting, the connection is released to the
+    /// pool for a later exchange, because opening it has cost the server work.
     async fn connect(self: &Rc<Self>, target: ConnectionTarget) -> Result<Connection, Outcome> {
         let slot = self.reserve_slot().ok_or(Outcome::NotSent)?;
         let (sender, receiver) = oneshot::channel();
--- a/crates/balancer-agent/src/upstream/pool/addresses.rs
+++ b/crates/balancer-agent/src/upstream/pool/addresses.rs
@@ -4,14 +4,14 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Maps each address to the server that the endpoint list last stated for it.
+/// A mapping of each address to the server that the endpoint list last stated for it.
 #[derive(Default)]
 pub struct ServersByAddress {
     servers: HashMap<SocketAddr, ServerId>,
 }
 
 impl ServersByAddress {
-    /// Assigns an address to a server. Returns the previous server if that was a different one.
+    /// Assigns an address to a server. If the address was assigned to another server, returns that server.
     pub fn assign(&mut self, address: SocketAddr, server: ServerId) -> Option<ServerId> {
         let previous = self.servers.insert(address, server);
         previous.filter(|previous| *previous != server)
--- a/crates/balancer-agent/src/upstream/pool/connection.rs
+++ b/crates/balancer-agent/src/upstream/pool/connection.rs
@@ -25,9 +25,9 @@
 /// The destination of a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionTarget {
-    /// The server.
+    /// The server to connect to.
     pub server: ServerId,
-    /// The server's incarnation when the connection was opened.
+    /// The incarnation of the server that the connection is opened to.
     pub incarnation: Incarnation,
     /// The server's address.
     pub address: SocketAddr,
@@ -39,6 +39,7 @@
     target: ConnectionTarget,
     sender: SendRequest<Full<Bytes>>,
     socket_state: Rc<SocketState>,
+    /// When the connection last became idle, or when it was opened if it has not been idle.
     idle_since: Instant,
     _task: ConnectionTask,
     _slot: ConnectionSlot,
@@ -116,7 +117,7 @@
         self.socket_state.set_write_by(None);
     }
 
-    /// Returns when the connection became idle.
+    /// Returns when the connection last became idle, or when it was opened if it has not been idle.
     pub fn idle_since(&self) -> Instant {
         self.idle_since
     }
--- a/crates/balancer-agent/src/upstream/pool/idle.rs
+++ b/crates/balancer-agent/src/upstream/pool/idle.rs
@@ -23,13 +23,12 @@
         Some(self.connections.remove(position))
     }
 
-    /// Returns when the first connection can be reused, or `None` if there is no connection.
+    /// Returns the earliest time at which a connection can be reused, or `None` if there is no connection.
     pub fn next_reusable_at(&self) -> Option<Instant> {
         self.connections.first().map(Connection::reusable_at)
     }
 
-    /// Returns since when the least recently used connection has been idle, or `None` if there is no
-    /// connection.
+    /// Returns when the least recently used connection became idle, or `None` if there is no connection.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.connections.first().map(Connection::idle_since)
     }
--- a/crates/balancer-agent/src/upstream/pool/incarnation.rs
+++ b/crates/balancer-agent/src/upstream/pool/incarnation.rs
@@ -1,14 +1,14 @@
-//! Identifies the successive processes of a server.
+//! The identifiers of the successive processes of a server.
 
 use std::cell::Cell;
 
-/// Identifies one process at one address. A connection to an earlier incarnation of a server is not used for
-/// a later one.
+/// The identifier of one process of a server at one address. A connection to an earlier incarnation of a
+/// server is not used for a later one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Incarnation(u64);
 
-/// Assigns numbers to incarnations. All servers share one counter, so incarnations are unique even if a
-/// server takes over the address of another server.
+/// The counter that assigns numbers to incarnations. All servers share one counter, so incarnations are
+/// unique even if a server takes over the address of another server.
 #[derive(Default)]
 pub struct IncarnationCounter {
     last: Cell<u64>,
--- a/crates/balancer-agent/src/upstream/pool/server.rs
+++ b/crates/balancer-agent/src/upstream/pool/server.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Applies a new entry of the endpoint list. If the server has a new address or a new process, it gets
+    /// Applies a new entry of the endpoint list. If the server has a new address or has restarted, it gets
     /// the incarnation `next_incarnation`. Returns the previous address if the server has a new one.
     pub fn update(&mut self, entry: &EndpointEntry, next_incarnation: Incarnation) -> Option<SocketAddr> {
         let new_address = entry.address.filter(|address| self.address != Some(*address));
--- a/crates/balancer-agent/src/upstream/pool/slots.rs
+++ b/crates/balancer-agent/src/upstream/pool/slots.rs
@@ -1,9 +1,9 @@
-//! Limits the number of connections to servers.
+//! The limit of the number of connections to servers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the connections that are open or being opened, up to a maximum.
+/// The slots for connections to servers. Each connection that is open or being opened occupies one slot.
 pub struct ConnectionSlots {
     max_connections: usize,
     in_use: Rc<Cell<usize>>,
--- a/crates/balancer-agent/src/upstream/request_write.rs
+++ b/crates/balancer-agent/src/upstream/request_write.rs
@@ -1,4 +1,4 @@
-//! Tracks whether a request has been written completely to its connection.
+//! The state of writing a request to its connection.
 
 use super::counting_stream::SocketState;
 use bytes::Bytes;
@@ -8,26 +8,26 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The state of the write of a request to its connection, which shows whether the last byte may have been
-/// written.
+/// The state of writing a request to its connection. It shows whether the last byte of the request may have
+/// been written.
 #[derive(Clone)]
 pub struct RequestWrite {
     socket_state: Rc<SocketState>,
-    /// A lower bound of the connection's count of written bytes once the last byte of the request is written.
-    end: u64,
+    /// A lower bound of the offset at which the request ends, among all bytes written to the connection.
+    min_end_offset: u64,
 }
 
 impl RequestWrite {
-    /// Creates the state for a request that is written to a connection next.
+    /// Creates the state of a request that is about to be written to a connection.
     pub fn new(request: &Request<Full<Bytes>>, socket_state: &Rc<SocketState>) -> Self {
-        let end = socket_state.bytes_written() + min_encoded_size(request);
-        RequestWrite { socket_state: socket_state.clone(), end }
+        let min_end_offset = socket_state.bytes_written() + min_encoded_size(request);
+        RequestWrite { socket_state: socket_state.clone(), min_end_offset }
     }
 
     /// Returns whether the last byte of the request may have been written. A server runs a request only after
     /// it has received the last byte.
     pub fn may_be_complete(&self) -> bool {
-        self.socket_state.bytes_written() >= self.end
+        self.socket_state.bytes_written() >= self.min_end_offset
     }
 
     /// Sets the time after which writes to the connection fail; `None` removes the limit.
--- a/crates/balancer-agent/src/upstream/response.rs
+++ b/crates/balancer-agent/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Interprets the responses of servers (PROTOCOL page, "Agents to order servers").
+//! The interpretation of the responses of servers (PROTOCOL page, "Agents to order servers").
 
 use super::MAX_BODY_BYTES;
 use balancer_core::{LoadReport, Outcome};
@@ -6,9 +6,11 @@
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
 
-/// Returns the outcome that a server's response indicates. A 503 or 504 proves that the request did not run
-/// only if it carries the header `X-Not-Processed: 1`. Without the header, the response may come from a
-/// proxy, and the request may have run on a server behind it.
+/// Returns the outcome that a server's response indicates.
+///
+/// A 503 or 504 proves that the request did not run only if the response has the header `X-Not-Processed: 1`.
+/// Without the header, the response may come from a proxy, and the request may have run on a server behind
+/// the proxy.
 pub fn outcome_of<B>(response: &Response<B>) -> Outcome {
     let is_unprocessed =
         response.headers().get("x-not-processed").is_some_and(|value| value.as_bytes() == b"1");
@@ -19,9 +21,12 @@
     }
 }
 
-/// Returns whether the length of the body is unambiguous and at most [`MAX_BODY_BYTES`]. If a response states
-/// several lengths, hyper uses one of them, which may be the wrong one. If a response states none, a
-/// truncated body is taken for a complete one.
+/// Returns whether a response states the length of its body unambiguously, and the length is at most
+/// [`MAX_BODY_BYTES`].
+///
+/// If a response states several lengths, hyper uses one of them, which may be the wrong one. If a response
+/// states none, hyper takes a truncated body for a complete one. Only a successful response must state a
+/// length, because the bodies of other responses are not used.
 pub fn has_valid_length<B: Body>(response: &Response<B>) -> bool {
     let headers = response.headers();
     let lengths = headers.get_all(CONTENT_LENGTH).iter().chain(headers.get(TRANSFER_ENCODING)).count();
