--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list of the discovery service.
+//! The watch of the endpoint list at the discovery service.
 //!
 //! A watch is a series of calls to discovery, each of which waits for changes of the list. The balancer
 //! decides when a watch starts, and when it starts again after a failure
@@ -20,10 +20,10 @@
 /// How long a call may wait at discovery until the list changes. A longer wait would delay the detection of a
 /// discovery service that has become unreachable.
 const MAX_CALL_WAIT: Duration = Duration::from_secs(5);
-/// How long after its wait at discovery a call times out. The protocol assumes that the agent is notified of
-/// a change 2 s after the wait at the latest (PROTOCOL page, "Figures"), so the next call must start before
-/// that.
-const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a call may take in addition to its wait at discovery. The protocol assumes that the agent is
+/// notified of a change 2 s after the wait at the latest (PROTOCOL page, "Figures"). If a call fails, the
+/// next call must start before then.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The maximum encoded size of a list, in bytes. A parsed list may take ten times its encoded size, and the
 /// process may have no more than 32 MB of memory.
 const MAX_LIST_BYTES: usize = 1 << 20;
@@ -108,7 +108,8 @@
     _task: ConnectionTask,
 }
 
-/// Makes calls to discovery. The connection is kept for the next call only if the last call succeeded.
+/// A client that makes calls to discovery. It keeps its connection for the next call only if the last call
+/// succeeded.
 struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Connection>,
@@ -126,16 +127,18 @@
         self.call(&path, MAX_CALL_WAIT).await
     }
 
-    /// Makes a call that may wait at discovery for `wait`. Returns `None` if the call fails or times out. The
-    /// timeout detects a network partition, in which the connection stays open but no response arrives.
+    /// Makes a call that may wait at discovery for `wait`. Returns `None` if the call fails or times out.
+    ///
+    /// The timeout detects a network partition, in which the connection stays open but no response arrives.
     async fn call(&mut self, path: &str, wait: Duration) -> Option<EndpointList> {
         let mut connection = self.connection.take();
-        let list = timeout(wait + CALL_TIMEOUT, self.exchange(&mut connection, path)).await.ok()??;
+        let list = timeout(wait + RESPONSE_TIMEOUT, self.exchange(&mut connection, path)).await.ok()??;
         self.connection = connection;
         Some(list)
     }
 
-    /// Sends one request and reads the response. Opens a new connection if there is none or if it is closed.
+    /// Sends one request and reads the list in the response. Opens a new connection if there is none or if it
+    /// is closed.
     async fn exchange(&self, connection: &mut Option<Connection>, path: &str) -> Option<EndpointList> {
         connection.take_if(|connection| connection.sender.is_closed());
         let connection = match connection {
--- a/crates/balancer-agent/src/discovery/tests.rs
+++ b/crates/balancer-agent/src/discovery/tests.rs
@@ -5,11 +5,11 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// The longest delay before the balancer reopens a broken watch.
+/// The maximum delay before the balancer reopens a broken watch.
 const MAX_REOPEN_DELAY: Duration = Duration::from_millis(350);
-/// The protocol assumes that the agent is notified of a change this long after the wait of a call, even if
-/// the call gets no response. Requests to a removed server must end one drain grace later, so the next call
-/// must have started by then.
+/// The maximum time between the end of a call's wait at discovery and the notification of the agent, as the
+/// protocol assumes it. If the call gets no response, the next call must start within this time, because
+/// requests to a removed server must end one drain grace later.
 const ASSUMED_NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
 
 #[tokio::test(start_paused = true)]
--- a/crates/balancer-agent/src/endpoint_list.rs
+++ b/crates/balancer-agent/src/endpoint_list.rs
@@ -25,13 +25,15 @@
     pub zone: String,
     /// The name of the server's machine kind; empty if the entry states none.
     pub machine_kind: String,
-    /// The cell of the server.
+    /// The cell of the server; 0 if the entry states none.
     pub cell: u32,
     /// Whether the server accepts requests.
     pub status: EntryStatus,
-    /// The size of the server relative to the other servers.
+    /// A weight whose meaning depends on the setting [`EndpointWeights`](balancer_core::EndpointWeights); 1
+    /// if the entry states none.
     pub weight: f64,
-    /// When the server's process last started, in Unix milliseconds; 0 means long ago.
+    /// When the server's process last started, in Unix milliseconds; 0 if that was long ago or if the entry
+    /// states no time.
     pub started_at_ms: f64,
 }
 
--- a/crates/balancer-agent/src/http_client.rs
+++ b/crates/balancer-agent/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Opens HTTP/1.1 connections to servers and to discovery.
+//! HTTP/1.1 connections to servers and to discovery.
 
 use hyper::body::Body;
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -20,9 +20,9 @@
 
 /// An open HTTP/1.1 connection.
 pub struct HttpConnection<RequestBody> {
-    /// Sends requests over the connection.
+    /// The handle that sends requests over the connection.
     pub sender: SendRequest<RequestBody>,
-    /// Drives the connection. The task must be kept for as long as the connection is used.
+    /// The task that drives the connection. It must be kept for as long as the connection is used.
     pub task: ConnectionTask,
 }
 
