--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the events of the wire format into the events of the balancer.
+//! The decoding of events from the wire format.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::EventError;
@@ -13,8 +13,10 @@
 };
 use balancer_settings::hash_name;
 
-/// Decodes an event. Returns `None` if the balancer has nothing to handle: the request is unknown or has been
-/// removed, no balancer sets the timer, or the host handles the event itself.
+/// Decodes an event into an event of the balancer.
+///
+/// Returns `None` for an event that the balancer does not handle: an event of a request that is unknown, a
+/// timer with an unknown number, or an event that the host handles itself.
 ///
 /// # Errors
 ///
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,13 +1,14 @@
-//! Encodes the actions of the balancer in the wire format.
+//! The encoding of actions in the wire format.
 
 use crate::error::ActionError;
-use crate::notice_text::notice_text;
+use crate::notice_text::format_notice;
 use crate::wire::{WireAction, ALL_PEERS};
 use crate::wire_identifiers::WireIdentifiers;
 use balancer_core::{Action, PeerId, RequestId, ServerId, Span};
 use std::rc::Rc;
 
-/// Encodes an action. An action that cannot be encoded is replaced by [`WireAction::ReportBug`].
+/// Encodes an action of the balancer. An action that cannot be encoded is replaced with
+/// [`WireAction::ReportBug`].
 pub fn encode(action: Action, identifiers: &mut WireIdentifiers) -> WireAction {
     try_encode(action, identifiers).unwrap_or_else(|error| WireAction::ReportBug { text: error.to_string() })
 }
@@ -39,7 +40,7 @@
             WireAction::Gossip { receiver: encode_receiver(to), payload: hex::encode(payload) }
         }
         Action::WatchEndpoints => WireAction::WatchEndpoints { is_active: true },
-        Action::Notify(notice) => WireAction::Log { text: notice_text(&notice) },
+        Action::Notify(notice) => WireAction::Log { text: format_notice(&notice) },
     })
 }
 
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -8,14 +8,14 @@
 /// The weight of a server if its entry in the endpoint list does not contain one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Stores endpoint lists by the numbers that the simulator gives them.
+/// The endpoint lists, by the numbers that the simulator gives them.
 #[derive(Debug, Default)]
 pub struct EndpointLists {
     lists: BTreeMap<u32, Vec<ListedEndpoint>>,
 }
 
 impl EndpointLists {
-    /// Stores a list. It replaces an earlier list with the same number.
+    /// Stores a list, which replaces an earlier list with the same number.
     pub fn insert(&mut self, list: WireEndpointList<'_>) {
         let endpoints = list.endpoints.into_iter().map(ListedEndpoint::from).collect();
         self.lists.insert(list.list_number, endpoints);
@@ -42,7 +42,7 @@
 }
 
 impl ListedEndpoint {
-    /// Returns the endpoint for an instance in which the server has this id.
+    /// Converts the entry to the balancer's type, for an instance in which the server has this id.
     pub fn to_endpoint(&self, server: ServerId) -> Endpoint {
         Endpoint {
             server,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -85,7 +85,7 @@
 /// The reason why an event is invalid.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The instance has not been started.
+    /// The event is for an instance that has not been started or has ended.
     #[error("an event came before ATTACH: {event}")]
     NotAttached {
         /// The name of the event on the wire.
@@ -103,7 +103,7 @@
         /// The unknown list number.
         list_number: u32,
     },
-    /// A new request has the id of a request that has not been removed.
+    /// A new request has the id of an earlier request that the adapter still keeps.
     #[error("REQUEST {request_id} came twice")]
     DuplicateRequest {
         /// The id of both requests.
@@ -126,7 +126,7 @@
 /// The reason why an action cannot be encoded. Such an action is always caused by a bug in the decision code.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ActionError {
-    /// The action refers to a request that never arrived or that has been removed.
+    /// The action refers to a request that never arrived or that the adapter no longer keeps.
     #[error("an action for a request that is not open")]
     UnknownRequest,
     /// The action refers to a server that has been in no endpoint list of the instance.
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -7,7 +7,7 @@
 use balancer_core::Time;
 use std::collections::BTreeMap;
 
-/// Holds all instances of the process. The instances share nothing but the endpoint lists.
+/// All instances of the process. The instances share nothing but the endpoint lists.
 #[derive(Default)]
 pub struct Host {
     endpoint_lists: EndpointLists,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -18,7 +18,8 @@
 }
 
 impl Instance {
-    /// Creates an instance. The caller starts it with [`Instance::start`].
+    /// Creates an instance that has not been started. The caller must call [`Instance::start`] before it
+    /// passes events.
     ///
     /// # Errors
     ///
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs balancers for the simulator. Reads batches of events from standard input, one batch per line, and
-//! replies to each batch with a line of actions on standard output.
+//! An adapter that runs balancers for the simulator. The adapter reads batches of events from standard input,
+//! one batch per line, and replies to each batch with a line of actions on standard output.
 
 mod decode;
 mod encode;
@@ -20,8 +20,8 @@
 const SESSION_ERROR_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
-    // A panic in the decision code is reported on the wire. The default hook would also print it to standard
-    // error.
+    // A panic in the decision code is reported to the simulator. The default panic hook would also print it
+    // to standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match session::run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/simulator-adapter/src/notice_text.rs
+++ b/crates/simulator-adapter/src/notice_text.rs
@@ -3,7 +3,7 @@
 use balancer_core::Notice;
 
 /// Returns the text of a notice. The text refers to a server by its id, which is the same in every instance.
-pub fn notice_text(notice: &Notice) -> String {
+pub fn format_notice(notice: &Notice) -> String {
     match notice {
         Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
             "server {} ejected ({reason}): latency ratio {:.2} of a fleet median of {:.2}",
@@ -11,7 +11,7 @@
             latency_ratio.value(),
             fleet_median.value()
         ),
-        // `Notice` may get more variants than this adapter knows.
+        // `Notice` is non-exhaustive: the balancer may add variants that have no text here.
         _ => format!("{notice:?}"),
     }
 }
--- a/crates/simulator-adapter/src/notice_text/tests.rs
+++ b/crates/simulator-adapter/src/notice_text/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of the texts of notices.
 
-use super::notice_text;
+use super::format_notice;
 use balancer_core::{EjectionReason, LatencyRatio, Notice, ServerId};
 
 fn ejection_text(reason: EjectionReason, latency_ratio: f64, fleet_median: f64) -> String {
-    notice_text(&Notice::ServerEjected {
+    format_notice(&Notice::ServerEjected {
         server: ServerId(2_836_614_505),
         reason,
         latency_ratio: LatencyRatio::new(latency_ratio),
--- a/crates/simulator-adapter/src/request_id_map.rs
+++ b/crates/simulator-adapter/src/request_id_map.rs
@@ -4,16 +4,16 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The size of the map from which [`RequestIdMap::prune`] removes requests. Pruning visits every request in
-/// the map. A minimum size spreads this cost over many requests.
+/// The minimum number of requests in the map for [`RequestIdMap::prune`] to remove any. Pruning visits every
+/// request in the map. The minimum spreads this cost over many requests.
 const PRUNING_THRESHOLD: usize = 1024;
 
-/// The state of a request.
+/// The state of a request in the map.
 #[derive(Debug)]
 struct RequestRecord {
     id: RequestId,
     attempts_in_flight: u32,
-    /// Whether the request has its final response or its client has disconnected.
+    /// Whether the request has had its final response or its client has disconnected.
     is_closed: bool,
 }
 
@@ -28,9 +28,9 @@
     }
 }
 
-/// Maps the ids that the simulator gives to requests (wire ids) to the ids in the balancer and back.
+/// A mapping between the ids that the simulator gives to requests (wire ids) and the ids in the balancer.
 ///
-/// The map keeps a request at least until it is closed and has no attempts in flight.
+/// The map keeps a request at least until the request is closed and has no attempts in flight.
 #[derive(Debug, Default)]
 pub struct RequestIdMap {
     records: HashMap<Rc<str>, RequestRecord>,
@@ -39,7 +39,7 @@
 }
 
 impl RequestIdMap {
-    /// Adds a request and returns its id, or `None` if the map has a request with this wire id already.
+    /// Adds a request and returns its id. Returns `None` if the map already has a request with this wire id.
     pub fn insert(&mut self, wire_id: &str) -> Option<RequestId> {
         if self.records.contains_key(wire_id) {
             return None;
@@ -87,7 +87,7 @@
         Some(wire_id)
     }
 
-    /// Records that the client has disconnected, so the request needs no final response any more. Returns the
+    /// Records that the client has disconnected, so the request no longer needs a final response. Returns the
     /// id of the request, or `None` if the request is unknown.
     pub fn disconnect(&mut self, wire_id: &str) -> Option<RequestId> {
         let record = self.records.get_mut(wire_id)?;
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-/// Replaces the contents of `line` by the next line of the input. Returns false at the end of the input.
+/// Replaces the contents of `line` with the next line of the input. Returns `false` at the end of the input.
 fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>) -> Result<bool, SessionError> {
     line.clear();
     let length = input.read_until(b'\n', line).map_err(SessionError::UnreadableInput)?;
--- a/crates/simulator-adapter/src/tests/messages.rs
+++ b/crates/simulator-adapter/src/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Builds lines of input for tests and runs sessions on them.
+//! Functions that build lines of input for tests and run sessions on them.
 
 use crate::session::run;
 use serde_json::{json, Value};
@@ -57,7 +57,7 @@
 
 /// A session that has ended.
 pub struct EndedSession {
-    /// How the session ended; the error is given by its message.
+    /// How the session ended; an error is given as its message.
     pub result: Result<(), String>,
     /// The lines of output.
     pub replies: Vec<Value>,
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -14,7 +14,7 @@
         /// The id of the request.
         #[serde(rename = "ticket")]
         request_id: String,
-        /// The name of the server to send it to.
+        /// The name of the server to which the attempt is sent.
         #[serde(rename = "backend")]
         server: String,
         /// The time at which the attempt times out, in milliseconds.
@@ -54,7 +54,8 @@
         /// The time at which the timer is due, in milliseconds.
         #[serde(rename = "atMs")]
         at_ms: f64,
-        /// The number of the timer, which [`WireEvent::TimerDue`](super::WireEvent::TimerDue) repeats.
+        /// The number of the timer, by which [`WireEvent::TimerDue`](super::WireEvent::TimerDue) refers to
+        /// it.
         #[serde(rename = "keyBack")]
         timer: u64,
     },
@@ -85,7 +86,7 @@
     /// Open or close a watch of the endpoint list.
     #[serde(rename = "FOLLOW")]
     WatchEndpoints {
-        /// Whether to open the watch. If false, it is closed.
+        /// Whether to open the watch; if not, the watch is closed.
         #[serde(rename = "active")]
         is_active: bool,
     },
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -31,7 +31,7 @@
 /// A line of output: the reply to a batch.
 #[derive(Debug, Serialize)]
 pub struct Reply {
-    /// The number of the batch.
+    /// The number of the batch that the reply is for.
     pub round: u64,
     /// The actions of each instance that has any.
     #[serde(rename = "parts")]
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -6,7 +6,7 @@
 
 /// The bit of [`WireRequest::flags`] that marks the cost hint as valid.
 pub const FLAG_VALID_COST_HINT: u64 = 1;
-/// The bit of [`WireRequest::flags`] that marks the request as a retry of the client's own.
+/// The bit of [`WireRequest::flags`] that marks the request as the client's own retry.
 pub const FLAG_CLIENT_RETRY: u64 = 2;
 
 /// An event for an instance, or an endpoint list for all instances.
@@ -15,7 +15,7 @@
     /// The instance starts.
     #[serde(rename = "ATTACH")]
     Attach(WireAttach),
-    /// The instance ends. A later [`WireEvent::Attach`] starts it again.
+    /// The instance ends. A later [`WireEvent::Attach`] starts a new instance with the same number.
     #[serde(rename = "RETIRE")]
     Retire {},
     /// A new endpoint list. Later events of any instance can refer to the list by its number.
--- a/crates/simulator-adapter/src/wire_identifiers.rs
+++ b/crates/simulator-adapter/src/wire_identifiers.rs
@@ -3,7 +3,7 @@
 use crate::request_id_map::RequestIdMap;
 use balancer_settings::ServerNames;
 
-/// Maps the wire identifiers of one balancer's servers and requests to the balancer's ids and back.
+/// The mappings between the wire identifiers and the balancer's ids of servers and requests.
 #[derive(Debug, Default)]
 pub struct WireIdentifiers {
     /// The names and ids of the servers.
