--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -29,7 +29,7 @@
 const MAX_LIST_BYTES: usize = 1 << 20;
 
 /// A handler of the events of a watch.
-pub trait WatchListener {
+pub trait WatchHandler {
     /// Handles a new list or the failure of the watch.
     fn handle_watch_event(self: Rc<Self>, event: WatchEvent);
 }
@@ -72,9 +72,9 @@
 
     /// Starts a watch for changes after the last recorded version. Without a recorded version, the watch
     /// begins with the complete list. A watch that is already open is replaced.
-    pub fn watch(&mut self, listener: Rc<impl WatchListener + 'static>) {
+    pub fn watch(&mut self, handler: Rc<impl WatchHandler + 'static>) {
         self.stop_watch();
-        self.watch = Some(tokio::task::spawn_local(run_watch(self.address, listener, self.list_version)));
+        self.watch = Some(tokio::task::spawn_local(run_watch(self.address, handler, self.list_version)));
     }
 
     fn stop_watch(&mut self) {
@@ -85,7 +85,7 @@
 }
 
 /// Makes one call to discovery after another, without a delay, until a call fails.
-async fn run_watch(address: SocketAddr, listener: Rc<impl WatchListener>, mut version: Option<u64>) {
+async fn run_watch(address: SocketAddr, handler: Rc<impl WatchHandler>, mut version: Option<u64>) {
     let mut client = DiscoveryClient { address, connection: None };
     loop {
         let list = match version {
@@ -94,11 +94,11 @@
             None => client.complete_list().await.filter(|list| list.is_complete),
         };
         let Some(list) = list else {
-            listener.handle_watch_event(WatchEvent::Failed);
+            handler.handle_watch_event(WatchEvent::Failed);
             return;
         };
         version = Some(list.version);
-        listener.clone().handle_watch_event(WatchEvent::Endpoints(list));
+        handler.clone().handle_watch_event(WatchEvent::Endpoints(list));
     }
 }
 
--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::discovery::{WatchEvent, WatchListener};
+use crate::discovery::{WatchEvent, WatchHandler};
 use crate::endpoint_list::EndpointList;
 use crate::request::{ClientRequest, SubmittedRequest};
 use crate::upstream::{AttemptResult, ConnectionPool, PoolLimits, ServerClient};
@@ -140,7 +140,8 @@
         self.endpoint_watch.borrow_mut().set_discovery_address(address, self.clone());
     }
 
-    /// Passes due timers to the balancer and closes stale connections. Never returns.
+    /// Passes due timers to the balancer and closes connections that have been idle for too long. Never
+    /// returns.
     pub async fn run(self: Rc<Self>) {
         let mut next_close = Instant::now() + CLOSE_STALE_INTERVAL;
         loop {
@@ -261,7 +262,7 @@
     }
 }
 
-impl WatchListener for Driver {
+impl WatchHandler for Driver {
     fn handle_watch_event(self: Rc<Self>, event: WatchEvent) {
         let update = match event {
             WatchEvent::Failed => EndpointUpdate::Failed,
--- a/crates/balancer-agent/src/driver/endpoint_watch.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch.rs
@@ -6,7 +6,7 @@
 
 pub use server_names::RetainedServerNames;
 
-use crate::discovery::{Discovery, WatchListener};
+use crate::discovery::{Discovery, WatchHandler};
 use crate::endpoint_list::EndpointList;
 use crate::upstream::ConnectionPool;
 use balancer_core::Endpoint;
@@ -29,14 +29,14 @@
 
     /// Starts the watch. It begins with the changes since the last received list, or with the complete list
     /// if none has been received.
-    pub fn start(&mut self, listener: Rc<impl WatchListener + 'static>) {
-        self.discovery.watch(listener);
+    pub fn start(&mut self, handler: Rc<impl WatchHandler + 'static>) {
+        self.discovery.watch(handler);
     }
 
     /// Changes the address of discovery and starts a watch there, which begins with the complete list.
-    pub fn set_discovery_address(&mut self, address: SocketAddr, listener: Rc<impl WatchListener + 'static>) {
+    pub fn set_discovery_address(&mut self, address: SocketAddr, handler: Rc<impl WatchHandler + 'static>) {
         self.discovery.set_address(address);
-        self.discovery.watch(listener);
+        self.discovery.watch(handler);
     }
 
     /// Returns the names and ids of the servers.
--- a/crates/balancer-agent/src/driver/outgoing.rs
+++ b/crates/balancer-agent/src/driver/outgoing.rs
@@ -11,7 +11,7 @@
 const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-timeout");
 
 /// Returns a copy of the client's request, with a header that states how long the agent waits for the
-/// response, in microseconds.
+/// response, in microseconds. The copy states the length of its body, unless it is a GET without a body.
 pub fn build_outgoing_request(request: &ClientRequest, timeout: Duration) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
--- a/crates/balancer-agent/src/upstream/client.rs
+++ b/crates/balancer-agent/src/upstream/client.rs
@@ -23,8 +23,8 @@
 /// The path of health checks whose responses contain a load report.
 const LOAD_PATH: &str = "/status/load";
 /// The maximum number of bytes that are read for one response: the body with its framing, the head, and the
-/// heads of preceding 1xx responses. A server that sends more violates the protocol, even if the head and the
-/// body are each small enough.
+/// heads of preceding 1xx responses. A server that sends more violates the protocol, even if each of these
+/// parts is within its own limit.
 const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BODY_BYTES + MAX_HEAD_BYTES) as u64;
 
 /// The error of an exchange whose connection broke or whose server violated the protocol.
@@ -66,7 +66,7 @@
             },
         };
         // If the last byte has not been written, the server cannot have run the request, whatever ended the
-        // attempt. The outcome must state that.
+        // attempt. The outcome must then state that the request did not run.
         let outcome = if progress.may_have_run() {
             failure
         } else if progress.is_cancelled() {
--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -105,8 +105,8 @@
     }
 
     /// Assigns an address to a server. If the address belonged to another server, the process of that server
-    /// has ended, even if the endpoint list does not state this yet. A new incarnation of that server
-    /// prevents the further use of connections to the ended process.
+    /// at this address has ended, even if the endpoint list has not stated this. That server then starts a
+    /// new incarnation, so that connections to the ended process are not used again.
     fn assign_address(&self, address: SocketAddr, server: ServerId) {
         let previous = self.servers_by_address.borrow_mut().assign(address, server);
         let mut servers = self.servers.borrow_mut();
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Removes and returns an idle connection to a server if one can be reused now.
+    /// Removes and returns an idle connection to a server if one can be reused now. Otherwise, returns when
+    /// one can be reused or where a new one must be opened.
     fn take_idle(&self, server: ServerId) -> Result<IdleLookup, Outcome> {
         let mut servers = self.servers.borrow_mut();
         let pooled = servers.get_mut(&server).filter(|pooled| pooled.is_serving()).ok_or(Outcome::NotSent)?;
--- a/crates/balancer-agent/src/upstream/pool/slots.rs
+++ b/crates/balancer-agent/src/upstream/pool/slots.rs
@@ -1,4 +1,4 @@
-//! The limit of the number of connections to servers.
+//! The limit on the number of connections to servers.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/balancer-agent/src/upstream/request_write.rs
+++ b/crates/balancer-agent/src/upstream/request_write.rs
@@ -13,7 +13,7 @@
 #[derive(Clone)]
 pub struct RequestWrite {
     socket_state: Rc<SocketState>,
-    /// A lower bound of the offset at which the request ends, among all bytes written to the connection.
+    /// A lower bound of the end of the request, as an offset in the bytes written to the connection.
     min_end_offset: u64,
 }
 
