--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list of the discovery service.
+//! The watch of the endpoint list at the discovery service.
 //!
 //! A watch is a series of calls to discovery, each of which waits for changes of the list. The balancer
 //! decides when a watch starts, and when it starts again after a failure
@@ -20,16 +20,16 @@
 /// How long a call may wait at discovery until the list changes. A longer wait would delay the detection of a
 /// discovery service that has become unreachable.
 const MAX_CALL_WAIT: Duration = Duration::from_secs(5);
-/// How long after its wait at discovery a call times out. The protocol assumes that the agent is notified of
-/// a change 2 s after the wait at the latest (PROTOCOL page, "Figures"), so the next call must start before
-/// that.
-const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a call may take in addition to its wait at discovery. The protocol assumes that the agent is
+/// notified of a change 2 s after the wait at the latest (PROTOCOL page, "Figures"). If a call fails, the
+/// next call must start before then.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The maximum encoded size of a list, in bytes. A parsed list may take ten times its encoded size, and the
 /// process may have no more than 32 MB of memory.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
 /// A handler of the events of a watch.
-pub trait WatchListener {
+pub trait WatchHandler {
     /// Handles a new list or the failure of the watch.
     fn handle_watch_event(self: Rc<Self>, event: WatchEvent);
 }
@@ -72,9 +72,9 @@
 
     /// Starts a watch for changes after the last recorded version. Without a recorded version, the watch
     /// begins with the complete list. A watch that is already open is replaced.
-    pub fn watch(&mut self, listener: Rc<impl WatchListener + 'static>) {
+    pub fn watch(&mut self, handler: Rc<impl WatchHandler + 'static>) {
         self.stop_watch();
-        self.watch = Some(tokio::task::spawn_local(run_watch(self.address, listener, self.list_version)));
+        self.watch = Some(tokio::task::spawn_local(run_watch(self.address, handler, self.list_version)));
     }
 
     fn stop_watch(&mut self) {
@@ -85,7 +85,7 @@
 }
 
 /// Makes one call to discovery after another, without a delay, until a call fails.
-async fn run_watch(address: SocketAddr, listener: Rc<impl WatchListener>, mut version: Option<u64>) {
+async fn run_watch(address: SocketAddr, handler: Rc<impl WatchHandler>, mut version: Option<u64>) {
     let mut client = DiscoveryClient { address, connection: None };
     loop {
         let list = match version {
@@ -94,11 +94,11 @@
             None => client.complete_list().await.filter(|list| list.is_complete),
         };
         let Some(list) = list else {
-            listener.handle_watch_event(WatchEvent::Failed);
+            handler.handle_watch_event(WatchEvent::Failed);
             return;
         };
         version = Some(list.version);
-        listener.clone().handle_watch_event(WatchEvent::Endpoints(list));
+        handler.clone().handle_watch_event(WatchEvent::Endpoints(list));
     }
 }
 
@@ -108,7 +108,8 @@
     _task: ConnectionTask,
 }
 
-/// Makes calls to discovery. The connection is kept for the next call only if the last call succeeded.
+/// A client that makes calls to discovery. It keeps its connection for the next call only if the last call
+/// succeeded.
 struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Connection>,
@@ -126,16 +127,18 @@
         self.call(&path, MAX_CALL_WAIT).await
     }
 
-    /// Makes a call that may wait at discovery for `wait`. Returns `None` if the call fails or times out. The
-    /// timeout detects a network partition, in which the connection stays open but no response arrives.
+    /// Makes a call that may wait at discovery for `wait`. Returns `None` if the call fails or times out.
+    ///
+    /// The timeout detects a network partition, in which the connection stays open but no response arrives.
     async fn call(&mut self, path: &str, wait: Duration) -> Option<EndpointList> {
         let mut connection = self.connection.take();
-        let list = timeout(wait + CALL_TIMEOUT, self.exchange(&mut connection, path)).await.ok()??;
+        let list = timeout(wait + RESPONSE_TIMEOUT, self.exchange(&mut connection, path)).await.ok()??;
         self.connection = connection;
         Some(list)
     }
 
-    /// Sends one request and reads the response. Opens a new connection if there is none or if it is closed.
+    /// Sends one request and reads the list in the response. Opens a new connection if there is none or if it
+    /// is closed.
     async fn exchange(&self, connection: &mut Option<Connection>, path: &str) -> Option<EndpointList> {
         connection.take_if(|connection| connection.sender.is_closed());
         let connection = match connection {
