--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -12,13 +12,15 @@
 use super::shedding::{LoadShedder, ShedOrder};
 use crate::units::{LatencyRatio, Probability};
 
-/// Latency ratio from which an attempt is slow. At this ratio a server holds several requests per core, and
-/// it becomes even slower if this lasts. Counting only late attempts would detect an overload too late
-/// (docs/findings/fleet-jams.md).
+/// Latency ratio from which an attempt is slow.
+///
+/// At this ratio a server holds several requests per core, and it becomes even slower if this lasts. Counting
+/// only late attempts would detect an overload too late (docs/findings/fleet-jams.md).
 pub const SLOW_RATIO: LatencyRatio = LatencyRatio::new(2.0 * TARGET_RATIO.value());
 /// Fraction of the probability that is lost in a round trip of slow attempts.
 const DECREASE_FRACTION: f64 = 0.6;
 /// Fraction of the probability's square root that is gained in a round trip of attempts that are not slow.
+///
 /// The square root lets low probabilities recover quickly. With `DECREASE_FRACTION`, a probability near 1
 /// stays constant if a quarter of the attempts are slow.
 const INCREASE_FRACTION: f64 = 0.2;
@@ -62,7 +64,7 @@
         self.view = view;
     }
 
-    /// The admission probability for all classes together.
+    /// Returns the admission probability for all classes together.
     pub fn probability(&self) -> Probability {
         Probability::new(self.probability)
     }
@@ -120,9 +122,11 @@
         }
     }
 
-    /// The admission probability for requests of this shed order, where `shed_first_fraction` of the traffic
-    /// is shed first. Requests that are shed first get a lower probability, and the others a higher one, so
-    /// that the probability for all requests together stays the same.
+    /// Returns the admission probability for requests of this shed order, where `shed_first_fraction` of the
+    /// traffic is shed first.
+    ///
+    /// Requests that are shed first get a lower probability, and the others a higher one, so that the
+    /// probability for all requests together stays the same.
     fn probability_for(&self, order: ShedOrder, shed_first_fraction: f64) -> f64 {
         if shed_first_fraction <= 0.0 || shed_first_fraction >= 1.0 {
             return self.probability;
--- a/crates/balancer-core/src/policy/concurrency.rs
+++ b/crates/balancer-core/src/policy/concurrency.rs
@@ -25,7 +25,7 @@
 /// target, as a multiple of the target.
 const MAX_OVERSHOOT: f64 = 2.0;
 
-/// The lowest limit of a server, in requests: one request divided by the number of balancers.
+/// Returns the lowest limit of a server, in requests: one request divided by the number of balancers.
 pub fn min_limit(settings: &Settings) -> f64 {
     1.0 / f64::from(settings.balancer_count.max(1))
 }
@@ -95,19 +95,21 @@
     }
 
     /// Backs off from a full server for the typical latency of a class: `typical_ratio` times its latency
-    /// objective. Without a backoff, rejected requests would be retried at every server of the fleet in quick
+    /// objective.
+    ///
+    /// Without a backoff, rejected requests would be retried at every server of the fleet in quick
     /// succession.
     pub fn back_off(&mut self, now: Time, objective: Span, typical_ratio: LatencyRatio) {
         self.last_latency_ms = objective.as_millis_f64();
         self.backoff_until = now + Span::from_millis_f64(objective.as_millis_f64() * typical_ratio.value());
     }
 
-    /// Whether the backoff after the last rejection has not ended.
+    /// Returns whether the backoff after the last rejection has not ended.
     pub fn is_backing_off(&self, now: Time) -> bool {
         now < self.backoff_until
     }
 
-    /// Whether one more attempt may be sent while `in_flight` others are in flight.
+    /// Returns whether one more attempt may be sent while `in_flight` others are in flight.
     ///
     /// The delay for a limit below one follows from the present limit and not from the limit at the end of
     /// the last attempt. Otherwise a single late attempt during an overload would keep a server unused for a
--- a/crates/balancer-core/src/policy/concurrency/tests.rs
+++ b/crates/balancer-core/src/policy/concurrency/tests.rs
@@ -16,7 +16,8 @@
     LatencySample { ratio, smoothed_ratio: ratio, other_in_flight }
 }
 
-/// Whether a limit that is not scaled down allows one more request while `in_flight` others are in flight.
+/// Returns whether a limit that is not scaled down allows one more request while `in_flight` others are in
+/// flight.
 fn allows_another_request(limit: &ConcurrencyLimit, in_flight: u32) -> bool {
     limit.has_capacity(NOW, in_flight, &UNSCALED)
 }
--- a/crates/balancer-core/src/policy/fleet/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -49,17 +49,17 @@
         self.index_by_id.get(&server).copied()
     }
 
-    /// The indices of the serving servers.
+    /// Returns the indices of the serving servers.
     pub fn serving(&self) -> &[ServerIndex] {
         &self.serving
     }
 
-    /// The states of the serving servers.
+    /// Returns the states of the serving servers.
     pub fn serving_states(&self) -> impl Iterator<Item = &ServerState> {
         self.serving.iter().map(|&index| &self[index])
     }
 
-    /// How much of each server's load this balancer can see.
+    /// Returns how much of each server's load this balancer can see.
     pub fn view(&self) -> FleetView {
         self.view
     }
@@ -123,7 +123,8 @@
         self.view = FleetView::of(balancer_count, self.peak_serving);
     }
 
-    /// The servers that were removed at least [`REMOVED_RETENTION`] ago and have no own attempt in flight.
+    /// Returns the servers that were removed at least [`REMOVED_RETENTION`] ago and have no own attempt in
+    /// flight.
     pub fn expired_servers(&self, now: Time) -> Vec<ServerIndex> {
         let is_expired = |server: &ServerState| {
             server.removed_at.is_some_and(|at| now.since(at) >= REMOVED_RETENTION) && server.in_flight == 0
@@ -139,24 +140,24 @@
         self.free_positions.push(index);
     }
 
-    /// The numbers of positions, known servers and free positions.
+    /// Returns the numbers of positions, known servers and free positions.
     #[cfg(test)]
     pub fn sizes(&self) -> [usize; 3] {
         [self.servers.len(), self.index_by_id.len(), self.free_positions.len()]
     }
 
-    /// The states at all positions, including those of forgotten servers.
+    /// Returns the states at all positions, including those of forgotten servers.
     #[cfg(test)]
     pub fn all_states(&self) -> impl Iterator<Item = &ServerState> {
         self.servers.iter()
     }
 
-    /// The zones of the known servers.
+    /// Returns the zones of the known servers.
     pub fn zones(&self) -> BTreeSet<ZoneId> {
         self.index_by_id.values().map(|&index| self[index].endpoint.zone).collect()
     }
 
-    /// The machine kinds of the known servers.
+    /// Returns the machine kinds of the known servers.
     pub fn machine_kinds(&self) -> BTreeSet<MachineKindId> {
         self.index_by_id.values().map(|&index| self[index].endpoint.machine_kind).collect()
     }
--- a/crates/balancer-core/src/policy/fleet/view.rs
+++ b/crates/balancer-core/src/policy/fleet/view.rs
@@ -15,7 +15,7 @@
 }
 
 impl FleetView {
-    /// The view of each of `balancer_count` balancers that share a fleet of `server_count` servers.
+    /// Returns the view of each of `balancer_count` balancers that share a fleet of `server_count` servers.
     pub fn of(balancer_count: u32, server_count: usize) -> Self {
         if balancer_count as usize > server_count {
             FleetView::Sparse
--- a/crates/balancer-core/src/policy/latency.rs
+++ b/crates/balancer-core/src/policy/latency.rs
@@ -47,17 +47,18 @@
         ServerLatency { ratio: ratio.value(), samples: 1, relative_slowness: 1.0 }
     }
 
-    /// The smoothed latency ratio; 0 without samples.
+    /// Returns the smoothed latency ratio; 0 without samples.
     pub fn ratio(&self) -> LatencyRatio {
         LatencyRatio::new(self.ratio)
     }
 
-    /// The number of samples recorded since the server started, or since its earlier samples were discarded.
+    /// Returns the number of samples recorded since the server started, or since its earlier samples were
+    /// discarded.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// How slow the server's machine is: 1 is typical, and 2 means twice the typical latency.
+    /// Returns how slow the server's machine is: 1 is typical, and 2 means twice the typical latency.
     pub fn relative_slowness(&self) -> f64 {
         self.relative_slowness
     }
@@ -112,22 +113,22 @@
         }
     }
 
-    /// The typical latency ratio of a class, which congestion hardly raises.
+    /// Returns the typical latency ratio of a class, which congestion hardly raises.
     pub fn typical_ratio(&self, class: ClassId) -> LatencyRatio {
         LatencyRatio::new(self.classes[class.0].typical_ratio)
     }
 
-    /// The recent latency ratio of a class, congestion included.
+    /// Returns the recent latency ratio of a class, congestion included.
     pub fn current_ratio(&self, class: ClassId) -> LatencyRatio {
         LatencyRatio::new(self.classes[class.0].current_ratio)
     }
 
-    /// The median latency ratio of the serving servers.
+    /// Returns the median latency ratio of the serving servers.
     pub fn median_ratio(&self) -> LatencyRatio {
         LatencyRatio::new(self.median_ratio)
     }
 
-    /// The typical latency of a class, in milliseconds.
+    /// Returns the typical latency of a class, in milliseconds.
     pub fn typical_latency_ms(&self, settings: &Settings, class: ClassId) -> f64 {
         let objective_ms = settings.class(class).latency_objective.as_millis_f64();
         (self.typical_ratio(class).value() * objective_ms).max(MIN_TYPICAL_LATENCY_MS)
@@ -140,9 +141,10 @@
         Work::from_millis_f64(work_ms)
     }
 
-    /// The expected latency ratio of a server: the weighted mean of the average of its machine kind and the
-    /// server's own average, whose weight grows with the number of its samples. For an unknown machine kind
-    /// the median of the fleet is used.
+    /// Returns the expected latency ratio of a server: the weighted mean of the average of its machine kind
+    /// and the server's own average, whose weight grows with the number of its samples.
+    ///
+    /// For an unknown machine kind the median of the fleet is used.
     pub fn expected_ratio(&self, machine_kind: MachineKindId, server: &ServerLatency) -> LatencyRatio {
         let kind_ratio = self.machine_kinds.get(&machine_kind).map_or(self.median_ratio, |kind| kind.ratio);
         let server_weight = f64::from(server.samples).min(MAX_SERVER_WEIGHT);
@@ -181,7 +183,7 @@
         self.median_ratio = median.unwrap_or(self.median_ratio).max(MIN_RATIO);
     }
 
-    /// The number of known machine kinds.
+    /// Returns the number of known machine kinds.
     #[cfg(test)]
     pub fn machine_kind_count(&self) -> usize {
         self.machine_kinds.len()
--- a/crates/balancer-core/src/policy/routing/candidates.rs
+++ b/crates/balancer-core/src/policy/routing/candidates.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether slow start admits a server as a candidate.
+    /// Returns whether slow start admits a server as a candidate.
     ///
     /// In a dense view the result is always `true`, because slow start limits the work that a server is sent
     /// and not how often the server is a candidate.
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The number of candidates that a server without load wins against: all of them if their loads are known
-    /// from polls, and otherwise 1, because only chance decides.
+    /// Returns the number of candidates that a server without load wins against: all of them if their loads
+    /// are known from polls, and otherwise 1, because only chance decides.
     fn competitor_count(&self) -> usize {
         if self.context.load_polling.is_enabled() {
             MAX_CANDIDATES
--- a/crates/balancer-core/src/policy/routing/context.rs
+++ b/crates/balancer-core/src/policy/routing/context.rs
@@ -32,12 +32,12 @@
 }
 
 impl RoutingContext<'_> {
-    /// How much of each server's load this balancer can see.
+    /// Returns how much of each server's load this balancer can see.
     pub fn view(&self) -> FleetView {
         self.fleet.view()
     }
 
-    /// The share of its full capacity that a server is known to have now.
+    /// Returns the share of its full capacity that a server is known to have now.
     pub fn capacity_share(&self, server: &ServerState) -> CapacityShare {
         capacity_share(self.settings, &server.endpoint, self.now)
     }
--- a/crates/balancer-core/src/policy/routing/eligibility.rs
+++ b/crates/balancer-core/src/policy/routing/eligibility.rs
@@ -8,7 +8,7 @@
 use crate::Effect;
 
 impl RoutingContext<'_> {
-    /// Whether a server is eligible: the request may be sent to it now.
+    /// Returns whether a server is eligible: the request may be sent to it now.
     pub fn is_eligible(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
         let server = &self.fleet[index];
         if !is_in_scope(server, request.permission.scope) || !server.endpoint.is_serving() {
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Whether a server is eligible and no earlier attempt of the request was sent to it.
+    /// Returns whether a server is eligible and no earlier attempt of the request was sent to it.
     pub fn is_eligible_and_untried(&self, index: ServerIndex, request: &RoutingRequest) -> bool {
         !request.has_tried(index) && self.is_eligible(index, request)
     }
 
-    /// Whether ejection, slow start and the concurrency limit permit sending the request to a server.
+    /// Returns whether ejection, slow start and the concurrency limit permit sending the request to a server.
     fn is_eligible_in_dense_view(&self, server: &ServerState, request: &RoutingRequest) -> bool {
         let is_idempotent = self.settings.class(request.class).effect == Effect::Idempotent;
         if !server.health.allows_request(self.now, is_idempotent) {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Whether the rules against duplicated effects permit another attempt at this server.
+/// Returns whether the rules against duplicated effects permit another attempt at this server.
 fn is_in_scope(server: &ServerState, scope: RetryScope) -> bool {
     match scope {
         RetryScope::Nowhere => false,
--- a/crates/balancer-core/src/policy/routing/memory.rs
+++ b/crates/balancer-core/src/policy/routing/memory.rs
@@ -18,22 +18,22 @@
 }
 
 impl ServerMemory {
-    /// The remembered servers, most recently chosen first.
+    /// Returns the remembered servers, most recently chosen first.
     pub fn servers(&self) -> &[ServerIndex] {
         &self.servers
     }
 
-    /// Whether the server is remembered.
+    /// Returns whether the server is remembered.
     pub fn contains(&self, server: ServerIndex) -> bool {
         self.servers.contains(&server)
     }
 
-    /// The server that a routing key was last sent to.
+    /// Returns the server that a routing key was last sent to.
     pub fn server_of_key(&self, key: RoutingKey) -> Option<ServerIndex> {
         self.server_by_key.get(&key).copied()
     }
 
-    /// The number of remembered routing keys.
+    /// Returns the number of remembered routing keys.
     #[cfg(test)]
     pub fn key_count(&self) -> usize {
         self.server_by_key.len()
--- a/crates/balancer-core/src/policy/routing/memory/tests.rs
+++ b/crates/balancer-core/src/policy/routing/memory/tests.rs
@@ -4,7 +4,7 @@
 use crate::policy::fleet::ServerRegistry;
 use crate::{Endpoint, ServerId, Time};
 
-/// Indices of three servers.
+/// Returns the indices of three servers.
 fn three_servers() -> [ServerIndex; 3] {
     let mut registry = ServerRegistry::new();
     let ids = [0, 1, 2].map(ServerId);
--- a/crates/balancer-core/src/policy/routing/request.rs
+++ b/crates/balancer-core/src/policy/routing/request.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether an earlier attempt of the request was sent to this server.
+    /// Returns whether an earlier attempt of the request was sent to this server.
     pub fn has_tried(&self, server: ServerIndex) -> bool {
         self.tried_servers.contains(&server)
     }
--- a/crates/balancer-core/src/policy/routing/router.rs
+++ b/crates/balancer-core/src/policy/routing/router.rs
@@ -57,7 +57,7 @@
         self.memory.remember(server, SampleSize::of(view).remembered)
     }
 
-    /// Whether the idle connections to a server should be closed.
+    /// Returns whether the idle connections to a server should be closed.
     ///
     /// Candidates are drawn from the whole fleet. If all connections stayed open, their number would grow to
     /// the number of balancers times the number of servers, and the servers' connection tables would fill up
@@ -85,7 +85,7 @@
         self.memory.retain(keep);
     }
 
-    /// The number of remembered routing keys.
+    /// Returns the number of remembered routing keys.
     #[cfg(test)]
     pub fn key_count(&self) -> usize {
         self.memory.key_count()
--- a/crates/balancer-core/src/policy/routing/sample.rs
+++ b/crates/balancer-core/src/policy/routing/sample.rs
@@ -22,7 +22,7 @@
 pub const MAX_CANDIDATES: usize = SPARSE_SAMPLE_SIZE.remembered + SPARSE_SAMPLE_SIZE.draws;
 
 impl SampleSize {
-    /// The sample size for a view.
+    /// Returns the sample size for a view.
     pub fn of(view: FleetView) -> Self {
         match view {
             FleetView::Dense => DENSE_SAMPLE_SIZE,
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -12,16 +12,19 @@
 const FACTOR_INCREASE_PER_PERCENT: f64 = 0.25;
 /// Converts a fraction to percent.
 const PERCENT_FACTOR: f64 = 100.0;
-/// Upper bound of the factor on the load of a server in another zone. With a factor above 2, local servers
-/// would get a second request before idle servers in other zones get their first, and the local zone would
-/// fill up.
+/// Upper bound of the factor on the load of a server in another zone.
+///
+/// With a factor above 2, local servers would get a second request before idle servers in other zones get
+/// their first, and the local zone would fill up.
 const MAX_CROSS_ZONE_FACTOR: f64 = 1.8;
 /// The work of a handshake as a fraction of the work of a request. Operators report 25 to 40 ms for a
 /// handshake and 87 to 180 ms for a request.
 const HANDSHAKE_WORK_FRACTION: f64 = 0.25;
-/// Exponent of a server's estimated capacity in its tie-break weight. Capacity takes effect twice: a server
-/// must win a tie-break to be remembered, and then wins further tie-breaks as a remembered server. With this
-/// exponent, requests settle in proportion to estimated capacity (docs/findings/fleet-handshakes.md).
+/// Exponent of a server's estimated capacity in its tie-break weight.
+///
+/// Capacity takes effect twice: a server must win a tie-break to be remembered, and then wins further
+/// tie-breaks as a remembered server. With this exponent, requests settle in proportion to estimated capacity
+/// (docs/findings/fleet-handshakes.md).
 const CAPACITY_EXPONENT: f64 = 0.6;
 /// Exponent of the latency ratio by which estimated capacity is divided. With an exponent of 1, slow servers
 /// time out while fast servers idle.
@@ -75,8 +78,9 @@
     }
 
     /// Ranks a candidate in a dense view: by own requests in flight, multiplied by factors for the slowness
-    /// of the server, the cost of crossing zones and a known routing key. The product is rounded on a
-    /// logarithmic scale.
+    /// of the server, the cost of crossing zones and a known routing key.
+    ///
+    /// The product is rounded on a logarithmic scale.
     fn dense_rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
         let server = &self.context.fleet[candidate];
         let key_factor = if self.request.key_server == Some(candidate) { KEY_SERVER_FACTOR } else { 1.0 };
@@ -90,9 +94,10 @@
         }
     }
 
-    /// Ranks a candidate in a sparse view: by own requests in flight without factors. The random tie-break is
-    /// weighted by the candidate's estimated capacity and, for a remembered server, by the cost of the
-    /// handshake that its open connection saves.
+    /// Ranks a candidate in a sparse view: by own requests in flight without factors.
+    ///
+    /// The random tie-break is weighted by the candidate's estimated capacity and, for a remembered server,
+    /// by the cost of the handshake that its open connection saves.
     fn sparse_rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
         let server = &self.context.fleet[candidate];
         let is_remembered = self.memory.contains(candidate);
@@ -109,8 +114,8 @@
         }
     }
 
-    /// The tie-break weight of a server by its estimated capacity, which is the listed size divided by the
-    /// expected load and latency. The weight of a suspected server is reduced.
+    /// Returns the tie-break weight of a server by its estimated capacity, which is the listed size divided
+    /// by the expected load and latency. The weight of a suspected server is reduced.
     fn capacity_weight(&self, server: &ServerState) -> f64 {
         let context = self.context;
         let size = listed_size(context.settings, server);
@@ -124,8 +129,10 @@
     }
 }
 
-/// The number of own requests at the server, including the one to be sent. The number is zero for an ejected
-/// server, which is a candidate only if a probe is due: with its actual load it would never be selected.
+/// Returns the number of own requests at the server, including the one to be sent.
+///
+/// The number is zero for an ejected server, which is a candidate only if a probe is due: with its actual
+/// load it would never be selected.
 fn own_requests(server: &ServerState) -> f64 {
     if server.health.is_ejected() {
         return 0.0;
@@ -133,7 +140,7 @@
     f64::from(server.in_flight) + 1.0
 }
 
-/// The factor on the load of a server for the cost of crossing zones: 1 in the local zone.
+/// Returns the factor on the load of a server for the cost of crossing zones: 1 in the local zone.
 fn zone_factor(settings: &Settings, server: &ServerState) -> f64 {
     if server.endpoint.zone == settings.local_zone {
         return 1.0;
@@ -142,13 +149,14 @@
     factor.clamp(1.0, MAX_CROSS_ZONE_FACTOR)
 }
 
-/// The factor on the tie-break weight of a server with an open connection, for the handshake that this saves.
+/// Returns the factor on the tie-break weight of a server with an open connection, for the handshake that
+/// this saves.
 fn open_connection_factor(settings: &Settings) -> f64 {
     let handshake_cost = settings.costs.handshake + HANDSHAKE_WORK_FRACTION * settings.costs.wasted_work;
     1.0 + PERCENT_FACTOR * FACTOR_INCREASE_PER_PERCENT * handshake_cost
 }
 
-/// The size of a server according to the endpoint list; 1 if the list gives no valid size.
+/// Returns the size of a server according to the endpoint list; 1 if the list gives no valid size.
 fn listed_size(settings: &Settings, server: &ServerState) -> f64 {
     let weight = server.endpoint.weight;
     let has_size = settings.endpoint_weights == EndpointWeights::Size;
--- a/crates/balancer-core/src/policy/server_load/load_reports.rs
+++ b/crates/balancer-core/src/policy/server_load/load_reports.rs
@@ -7,7 +7,7 @@
 /// Exclusive upper bound of plausible loads, in requests. A reported load outside the bounds is ignored.
 const MAX_PLAUSIBLE_LOAD: f64 = 1e4;
 
-/// Whether this field of a load report contains the load of a server, in requests.
+/// Returns whether this field of a load report contains the load of a server, in requests.
 pub fn is_load_field(field: LoadReportField) -> bool {
     matches!(field, LoadReportField::InFlight | LoadReportField::QueueLength)
 }
@@ -20,7 +20,7 @@
 }
 
 impl LoadReports {
-    /// The moving average of the reported loads, in requests.
+    /// Returns the moving average of the reported loads, in requests.
     pub fn mean_load(&self) -> f64 {
         self.mean_load
     }
--- a/crates/balancer-core/src/policy/server_load/polling.rs
+++ b/crates/balancer-core/src/policy/server_load/polling.rs
@@ -22,22 +22,22 @@
 }
 
 impl LoadPoll {
-    /// The request that waits for the poll to end.
+    /// Returns the request that waits for the poll to end.
     pub fn request(&self) -> RequestId {
         self.request
     }
 
-    /// The servers that are polled, each once.
+    /// Returns the servers that are polled, each once.
     pub fn candidates(&self) -> &[ServerIndex] {
         &self.candidates
     }
 
-    /// When the poll ends, even if not all candidates have reported.
+    /// Returns when the poll ends, even if not all candidates have reported.
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// The candidates that have reported since the poll started, or all candidates if none has.
+    /// Returns the candidates that have reported since the poll started, or all candidates if none has.
     pub fn usable_candidates(&self, fleet: &ServerRegistry) -> Vec<ServerIndex> {
         let reported: Vec<ServerIndex> =
             self.candidates.iter().copied().filter(|&server| self.has_reported(fleet, server)).collect();
@@ -47,12 +47,12 @@
         reported
     }
 
-    /// Whether all candidates have reported or the deadline of the poll has passed.
+    /// Returns whether all candidates have reported or the deadline of the poll has passed.
     fn is_finished(&self, now: Time, fleet: &ServerRegistry) -> bool {
         now >= self.deadline || self.candidates.iter().all(|&server| self.has_reported(fleet, server))
     }
 
-    /// Whether a candidate has reported its load since the poll started.
+    /// Returns whether a candidate has reported its load since the poll started.
     fn has_reported(&self, fleet: &ServerRegistry, candidate: ServerIndex) -> bool {
         fleet[candidate].reported_load.has_report_since(self.started_at)
     }
@@ -78,7 +78,7 @@
         };
     }
 
-    /// Whether candidates are polled before one of them is selected.
+    /// Returns whether candidates are polled before one of them is selected.
     pub fn is_enabled(&self) -> bool {
         self.is_enabled
     }
@@ -108,13 +108,14 @@
         finished
     }
 
-    /// The servers that unfinished polls refer to.
+    /// Returns the servers that unfinished polls refer to.
     pub fn polled_servers(&self) -> impl Iterator<Item = ServerIndex> + '_ {
         self.polls.iter().flat_map(|poll| poll.candidates.iter().copied())
     }
 }
 
-/// Whether health checks are allowed, cheap enough and the only source of load reports, and return a load.
+/// Returns whether health checks are allowed, cheap enough and the only source of load reports, and return a
+/// load.
 fn is_polling_worthwhile(settings: &Settings) -> bool {
     settings.allows_health_checks
         && settings.load_report_source == LoadReportSource::HealthChecks
--- a/crates/balancer-core/src/policy/server_load/reported_load.rs
+++ b/crates/balancer-core/src/policy/server_load/reported_load.rs
@@ -25,12 +25,12 @@
         self.sends_since += 1;
     }
 
-    /// Whether the last report arrived at `time` or later.
+    /// Returns whether the last report arrived at `time` or later.
     pub fn has_report_since(&self, time: Time) -> bool {
         self.reported_at.is_some_and(|at| at >= time)
     }
 
-    /// The load in the last report plus the attempts sent since; zero before the first report.
+    /// Returns the load in the last report plus the attempts sent since; zero before the first report.
     pub fn last_known(&self) -> f64 {
         if self.reported_at.is_none() {
             return 0.0;
@@ -38,8 +38,10 @@
         self.load + f64::from(self.sends_since)
     }
 
-    /// The estimated load at `now`: a weighted mean of the last known load and `mean_load`. The weight of the
-    /// last known load decays exponentially with the age of the report; the time constant is `decay_ms`.
+    /// Returns the estimated load at `now`: a weighted mean of the last known load and `mean_load`.
+    ///
+    /// The weight of the last known load decays exponentially with the age of the report; the time constant
+    /// is `decay_ms`.
     pub fn expected(&self, now: Time, decay_ms: f64, mean_load: f64) -> f64 {
         let weight = self.reported_at.map_or(0.0, |at| decay_factor(now.since(at), decay_ms));
         weight * (self.load + f64::from(self.sends_since)) + (1.0 - weight) * mean_load
--- a/crates/balancer-core/src/policy/shedding/shedder.rs
+++ b/crates/balancer-core/src/policy/shedding/shedder.rs
@@ -47,13 +47,13 @@
         rng.f64() * self.traffic.requests_of_tenant(tenant) > allowed_requests.max(1.0)
     }
 
-    /// The shed order of a class.
+    /// Returns the shed order of a class.
     pub fn class_shed_order(&self, class: ClassId) -> ShedOrder {
         self.class_shed_order[class.0]
     }
 
-    /// The shed order of a request: a request over its tenant's share is shed first, any other one in the
-    /// order of its class.
+    /// Returns the shed order of a request: a request over its tenant's share is shed first, any other one in
+    /// the order of its class.
     pub fn shed_order(&self, active: &ActiveRequest) -> ShedOrder {
         if active.is_over_share {
             ShedOrder::First
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The fraction of the traffic that belongs to classes that are shed first; NaN if no request has
+    /// Returns the fraction of the traffic that belongs to classes that are shed first; NaN if no request has
     /// been counted.
     pub fn shed_first_fraction(&self) -> f64 {
         let by_class = self.traffic.requests_by_class();
--- a/crates/balancer-core/src/policy/shedding/traffic.rs
+++ b/crates/balancer-core/src/policy/shedding/traffic.rs
@@ -39,22 +39,22 @@
         }
     }
 
-    /// The request count of a class.
+    /// Returns the request count of a class.
     pub fn requests_of_class(&self, class: ClassId) -> f64 {
         self.by_class[class.0]
     }
 
-    /// The request count of a tenant that the settings contain.
+    /// Returns the request count of a tenant that the settings contain.
     pub fn requests_of_tenant(&self, tenant: TenantId) -> f64 {
         self.by_tenant[tenant.0]
     }
 
-    /// The request counts of all classes, by class id.
+    /// Returns the request counts of all classes, by class id.
     pub fn requests_by_class(&self) -> &[f64] {
         &self.by_class
     }
 
-    /// The sum of the request counts of all tenants.
+    /// Returns the sum of the request counts of all tenants.
     pub fn requests_of_all_tenants(&self) -> f64 {
         self.by_tenant.iter().sum()
     }
--- a/crates/balancer-core/src/policy/slow_start.rs
+++ b/crates/balancer-core/src/policy/slow_start.rs
@@ -36,9 +36,10 @@
     warm_ratio: f64,
 }
 
-/// The share of its capacity that a server is known to have at `now`. The share grows linearly from the
-/// initial capacity to 1 over the longest time that a server takes to warm up (WIRE page, section 5,
-/// `coldShare` and `warmAfterMs`).
+/// Returns the share of its capacity that a server is known to have at `now`.
+///
+/// The share grows linearly from the initial capacity to 1 over the longest time that a server takes to warm
+/// up (WIRE page, section 5, `coldShare` and `warmAfterMs`).
 pub fn capacity_share(settings: &Settings, endpoint: &Endpoint, now: Time) -> CapacityShare {
     let Some(started_at) = endpoint.started_at else { return CapacityShare::FULL };
     let age_ms = now.since(started_at).as_millis_f64();
@@ -94,14 +95,16 @@
         self.work_per_warm_server.add(now, decay_ms, work_per_server_ms);
     }
 
-    /// Mean work that a warm server was sent recently, in milliseconds.
+    /// Returns the mean work that a warm server was sent recently, in milliseconds.
     fn work_per_warm_server(&self, now: Time) -> f64 {
         self.work_per_warm_server.value_at(now)
     }
 
-    /// Whether this work would make the recent work of a server exceed its capacity share of the recent work
-    /// of a warm server. With this limit all balancers together cannot overload the server as long as warm
-    /// servers are limited too.
+    /// Returns whether this work would make the recent work of a server exceed its capacity share of the
+    /// recent work of a warm server.
+    ///
+    /// With this limit all balancers together cannot overload the server as long as warm servers are limited
+    /// too.
     pub fn exceeds_share(&self, server: &WarmUpWork, share: CapacityShare, work: Work, now: Time) -> bool {
         if share.is_full() || self.warm_server_count == 0 {
             return false;
@@ -131,7 +134,7 @@
         allowed_share >= 1.0 || rng.f64() * (competitors as f64) < allowed_share
     }
 
-    /// Speed of servers that are warming up relative to warm servers: 2 means half the latency.
+    /// Returns the speed of servers that are warming up relative to warm servers: 2 means half the latency.
     fn relative_speed(&self) -> f64 {
         self.warm_ratio / self.warming_up_ratio
     }
--- a/crates/balancer-core/src/policy/smoothing.rs
+++ b/crates/balancer-core/src/policy/smoothing.rs
@@ -32,7 +32,7 @@
 }
 
 impl DecayingSum {
-    /// The decayed sum at `now`.
+    /// Returns the decayed sum at `now`.
     pub fn value_at(&self, now: Time) -> f64 {
         self.sum * decay_factor(now.since(self.updated_at), self.decay_ms.max(1.0))
     }
@@ -43,12 +43,13 @@
     }
 }
 
-/// The factor of an exponential decay after `elapsed`, with a time constant of `decay_ms` milliseconds.
+/// Returns the factor of an exponential decay after `elapsed`, with a time constant of `decay_ms`
+/// milliseconds.
 pub fn decay_factor(elapsed: Span, decay_ms: f64) -> f64 {
     (-elapsed.as_millis_f64() / decay_ms).exp()
 }
 
-/// The median of `values`, the upper one if their number is even; `None` without values.
+/// Returns the median of `values`, the upper one if their number is even; `None` without values.
 pub fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/balancer-core/src/policy/tick.rs
+++ b/crates/balancer-core/src/policy/tick.rs
@@ -18,7 +18,7 @@
         TickSchedule { next_tick: Time::EPOCH }
     }
 
-    /// Whether the next tick is due at `now`. A timer that was set for an earlier schedule may expire
+    /// Returns whether the next tick is due at `now`. A timer that was set for an earlier schedule may expire
     /// before the next tick is due.
     pub fn is_due(&self, now: Time) -> bool {
         now >= self.next_tick
@@ -31,8 +31,10 @@
     }
 
     /// Brings the next tick forward for a request that was queued, and returns its time; `None` if the next
-    /// tick is due soon enough. A tick is never postponed. Otherwise, if requests were queued more often than
-    /// ticks come, no tick would ever be due, and the queued requests would miss their deadlines.
+    /// tick is due soon enough.
+    ///
+    /// A tick is never postponed. Otherwise, if requests were queued more often than ticks come, no tick
+    /// would ever be due, and the queued requests would miss their deadlines.
     pub fn schedule_soon(&mut self, now: Time) -> Option<Time> {
         if self.next_tick <= now + BUSY_INTERVAL {
             return None;
--- a/crates/balancer-core/src/policy/token_bucket.rs
+++ b/crates/balancer-core/src/policy/token_bucket.rs
@@ -12,7 +12,7 @@
         TokenBucket { balance }
     }
 
-    /// The amount that can be spent.
+    /// Returns the amount that can be spent.
     pub fn balance(&self) -> f64 {
         self.balance
     }
--- a/crates/balancer-core/src/policy/wait_queue.rs
+++ b/crates/balancer-core/src/policy/wait_queue.rs
@@ -18,7 +18,7 @@
 }
 
 impl WaitQueue {
-    /// Whether no request is queued.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -38,8 +38,8 @@
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Whether the watch is to be reopened at `now`. If so, the schedule is cleared, and the caller must
-    /// reopen the watch.
+    /// Returns whether the watch is to be reopened at `now`. If so, the schedule is cleared, and the caller
+    /// must reopen the watch.
     pub fn take_due(&mut self, now: Time) -> bool {
         self.retry_at.take_if(|at| now >= *at).is_some()
     }
--- a/crates/balancer-core/src/policy/watch/tests.rs
+++ b/crates/balancer-core/src/policy/watch/tests.rs
@@ -5,7 +5,8 @@
 const NOW: Time = Time::from_millis(1_000);
 const MAX_POLL_INTERVAL: Span = Span::from_secs(10);
 
-/// The delay after each of `failures` consecutive failures, with jitter from a generator with this seed.
+/// Returns the delay after each of `failures` consecutive failures, with jitter from a generator with this
+/// seed.
 fn delays(failures: usize, seed: u64) -> Vec<Span> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut watch_retry = WatchRetry::new();
