--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -26,18 +26,19 @@
 const INCREASE_FRACTION: f64 = 0.2;
 /// Minimum number of attempts that count as one round trip in a sparse view. With fewer, a single slow
 /// attempt could stop the balancer from sending requests.
-const MIN_ROUND_TRIP_ATTEMPTS: usize = 4;
+const MIN_SPARSE_ROUND_TRIP_ATTEMPTS: usize = 4;
 /// Lowest probability in a sparse view. Without some admitted requests the balancer would not detect the end
 /// of an overload.
-const MIN_PROBABILITY: f64 = 0.02;
-/// Fraction of the probability that classes that are shed first keep, so that no class is starved
-/// (docs/findings/fleet-shares.md).
+const MIN_SPARSE_PROBABILITY: f64 = 0.02;
+/// Lower bound of the admission probability of classes that are shed first, as a fraction of the probability
+/// for all classes together. The bound prevents the starvation of a class (docs/findings/fleet-shares.md).
 const MIN_CLASS_FRACTION: f64 = 0.5;
 
 /// The admission probability, and the state of the fleet that it depends on.
 pub struct AdmissionControl {
     /// The admission probability for all classes together.
     probability: f64,
+    /// The view, which decides how requests are admitted and how the probability is adjusted.
     view: FleetView,
     /// Number of balancers that share the fleet.
     balancer_count: u32,
@@ -59,7 +60,7 @@
         AdmissionControl { probability: 1.0, view: FleetView::Dense, balancer_count, fleet_capacity: 0.0 }
     }
 
-    /// Sets the view, which decides whether requests are admitted by probability.
+    /// Sets the view, which decides whether requests are admitted at random.
     pub fn set_view(&mut self, view: FleetView) {
         self.view = view;
     }
@@ -69,7 +70,11 @@
         Probability::new(self.probability)
     }
 
-    /// Adjusts the probability by the latency ratio of one attempt while `in_flight` attempts have not ended.
+    /// Adjusts the probability by the latency ratio of an attempt that has ended or has just become slow.
+    ///
+    /// `in_flight` is the number of attempts that have not ended. The change is divided by the number of
+    /// attempts in a round trip, which is estimated as `in_flight + 1` and has a lower bound in a sparse
+    /// view.
     pub fn record(&mut self, ratio: LatencyRatio, in_flight: usize) {
         let bounds = self.adjustment_bounds();
         let round_trip_attempts = bounds.min_round_trip_attempts.max(in_flight + 1);
@@ -83,6 +88,7 @@
             (self.probability + step / round_trip_attempts as f64).clamp(bounds.min_probability, 1.0);
     }
 
+    /// Returns the bounds for the current view.
     fn adjustment_bounds(&self) -> AdjustmentBounds {
         match self.view {
             FleetView::Dense => AdjustmentBounds {
@@ -90,8 +96,8 @@
                 min_probability: 1.0 / f64::from(self.balancer_count.max(1)),
             },
             FleetView::Sparse => AdjustmentBounds {
-                min_round_trip_attempts: MIN_ROUND_TRIP_ATTEMPTS,
-                min_probability: MIN_PROBABILITY,
+                min_round_trip_attempts: MIN_SPARSE_ROUND_TRIP_ATTEMPTS,
+                min_probability: MIN_SPARSE_PROBABILITY,
             },
         }
     }
@@ -108,13 +114,15 @@
         }
         if self.view == FleetView::Sparse && self.fleet_capacity > 0.0 {
             let scaled = self.probability * capacity / self.fleet_capacity;
-            self.probability = scaled.clamp(MIN_PROBABILITY, 1.0);
+            self.probability = scaled.clamp(MIN_SPARSE_PROBABILITY, 1.0);
         }
         self.fleet_capacity = capacity;
     }
 
-    /// Decides whether a request of this shed order is admitted. In a dense view all requests are admitted
-    /// here, because the concurrency limits of the servers bound the load.
+    /// Decides whether a request of this shed order is admitted.
+    ///
+    /// In a dense view all requests are admitted here, because the concurrency limits of the servers bound
+    /// the load.
     pub fn admits(&self, order: ShedOrder, shedder: &LoadShedder, rng: &mut fastrand::Rng) -> bool {
         match self.view {
             FleetView::Dense => true,
--- a/crates/balancer-core/src/policy/concurrency.rs
+++ b/crates/balancer-core/src/policy/concurrency.rs
@@ -1,10 +1,11 @@
-//! Concurrency limits: how many of this balancer's attempts a server may have in flight at a time, adapted to
-//! the latency of the server.
+//! Concurrency limits: how many of this balancer's attempts may be in flight at a server at a time. Each
+//! limit adapts to the latency of its server.
 
 use crate::units::{CapacityShare, LatencyRatio, Probability};
 use crate::{Settings, Span, Time};
 
-/// Target for the latency ratio of servers: above it the limit of a server shrinks, below it the limit grows.
+/// Target for the smoothed latency ratio of a server. Above the target, the limit of the server shrinks; at
+/// the target or below, the limit grows while it is fully used.
 pub const TARGET_RATIO: LatencyRatio = LatencyRatio::new(0.25);
 /// Latency ratio from which an attempt is late. Higher ratios are counted as this one, so that one expensive
 /// request does not count as much as ten others.
@@ -15,8 +16,8 @@
 const MAX_LIMIT: f64 = 1000.0;
 /// Factor by which a late attempt multiplies the limit.
 const LATE_FACTOR: f64 = 0.85;
-/// Requests by which a fully used limit grows in about a round trip, that is, over as many attempts as the
-/// limit allows in flight.
+/// Number of requests by which a fully used limit grows in about one round trip, that is, while as many
+/// attempts end as the limit allows in flight.
 const INCREASE_PER_ROUND_TRIP: f64 = 0.1;
 /// Fraction of the limit that an attempt removes per unit of overshoot. Higher fractions, 0.04 and 0.08, cost
 /// more than they save.
@@ -43,7 +44,7 @@
 /// Factors that a limit is multiplied by before it is compared with the number of attempts in flight.
 pub struct LimitScale {
     /// The admission probability.
-    pub admission: Probability,
+    pub admission_probability: Probability,
     /// The capacity share of the server, which is below 1 while the server is warming up.
     pub capacity_share: CapacityShare,
 }
@@ -56,7 +57,7 @@
     last_attempt_ended_at: Time,
     /// Latency of the last attempt, or the latency objective if the server has rejected the attempt.
     last_latency_ms: f64,
-    /// After a rejection the server is sent no attempt before this time.
+    /// When the backoff after the last rejection ends. The server is sent no attempt before this time.
     backoff_until: Time,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Adjusts the limit by an ended attempt, but not below `min_limit`.
+    /// Adjusts the limit to the latency of an ended attempt, but not below `min_limit`.
     ///
     /// The limit shrinks more slowly than the smoothed latency adapts, because the lag of the average would
     /// otherwise make the limit too low. A late attempt or a rejection by a full server is certain evidence
@@ -94,8 +95,8 @@
         self.last_latency_ms = latency.as_millis_f64();
     }
 
-    /// Backs off from a full server for the typical latency of a class: `typical_ratio` times its latency
-    /// objective.
+    /// Backs off from a full server for the typical latency of a class, which is `typical_ratio` times the
+    /// latency objective of the class.
     ///
     /// Without a backoff, rejected requests would be retried at every server of the fleet in quick
     /// succession.
@@ -104,7 +105,7 @@
         self.backoff_until = now + Span::from_millis_f64(objective.as_millis_f64() * typical_ratio.value());
     }
 
-    /// Returns whether the backoff after the last rejection has not ended.
+    /// Returns whether the backoff after the last rejection is still in progress at `now`.
     pub fn is_backing_off(&self, now: Time) -> bool {
         now < self.backoff_until
     }
@@ -115,7 +116,7 @@
     /// the last attempt. Otherwise a single late attempt during an overload would keep a server unused for a
     /// minute.
     pub fn has_capacity(&self, now: Time, in_flight: u32, scale: &LimitScale) -> bool {
-        let limit = self.limit * scale.admission.value();
+        let limit = self.limit * scale.admission_probability.value();
         let delay_ms = self.last_latency_ms * (1.0 / limit - 1.0).max(0.0);
         let is_delay_over = now.since(self.last_attempt_ended_at).as_millis_f64() >= delay_ms;
         if !is_delay_over || self.is_backing_off(now) {
--- a/crates/balancer-core/src/policy/concurrency/tests.rs
+++ b/crates/balancer-core/src/policy/concurrency/tests.rs
@@ -7,8 +7,11 @@
 const OBJECTIVE: Span = Span::from_millis(100);
 const UNSCALED: LimitScale = scale(1.0, 1.0);
 
-const fn scale(admission: f64, capacity_share: f64) -> LimitScale {
-    LimitScale { admission: Probability::new(admission), capacity_share: CapacityShare::new(capacity_share) }
+const fn scale(admission_probability: f64, capacity_share: f64) -> LimitScale {
+    LimitScale {
+        admission_probability: Probability::new(admission_probability),
+        capacity_share: CapacityShare::new(capacity_share),
+    }
 }
 
 fn sample(ratio: f64, other_in_flight: u32) -> LatencySample {
--- a/crates/balancer-core/src/policy/fleet/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -22,10 +22,10 @@
     index_by_id: BTreeMap<ServerId, ServerIndex>,
     /// Positions of forgotten servers, which can be reused because nothing refers to them.
     free_positions: Vec<ServerIndex>,
-    /// The servers that the endpoint list shows as serving.
+    /// The serving servers, as of the last call of `refresh_serving`.
     serving: Vec<ServerIndex>,
-    /// The largest number of servers that were serving at the same time. The view depends on the peak so that
-    /// it does not become sparse when the fleet shrinks for a while.
+    /// The largest number of servers that were serving at the same time. The view depends on this peak, so
+    /// that it does not become sparse when the fleet shrinks for a while.
     peak_serving: usize,
     /// How much of each server's load this balancer can see.
     view: FleetView,
@@ -65,7 +65,7 @@
     }
 
     /// Applies entries of the endpoint list and returns the servers that have started a new process. If the
-    /// list is complete, servers that are missing from it are removed.
+    /// entries are the complete list, servers that are missing from it are marked as removed.
     pub fn update(&mut self, now: Time, endpoints: Vec<Endpoint>, is_complete: bool) -> Vec<ServerIndex> {
         if is_complete {
             for server in &mut self.servers {
@@ -83,7 +83,7 @@
         restarted
     }
 
-    /// Applies one entry of the endpoint list; returns the server if it has started a new process.
+    /// Applies one entry of the endpoint list. Returns the server if it has started a new process.
     fn update_endpoint(&mut self, now: Time, endpoint: Endpoint) -> Option<ServerIndex> {
         let Some(index) = self.find(endpoint.server) else {
             self.add(ServerState::new(endpoint, now));
--- a/crates/balancer-core/src/policy/fleet/server.rs
+++ b/crates/balancer-core/src/policy/fleet/server.rs
@@ -20,7 +20,7 @@
     pub latency: ServerLatency,
     /// The limit on own attempts in flight.
     pub limit: ConcurrencyLimit,
-    /// Failures, responses and ejection.
+    /// The consecutive failures, the last response and the ejection of the server.
     pub health: ServerHealth,
     /// Until when the server is suspected.
     pub suspicion: ServerSuspicion,
@@ -28,7 +28,8 @@
     pub reported_load: ReportedLoad,
     /// The work that the server was recently sent while it was warming up.
     pub warm_up_work: WarmUpWork,
-    /// When an update of the endpoint list first showed the server as removed; `None` for other servers.
+    /// When an update of the endpoint list first showed the server as removed; `None` if the server is not
+    /// removed.
     pub(super) removed_at: Option<Time>,
 }
 
--- a/crates/balancer-core/src/policy/latency.rs
+++ b/crates/balancer-core/src/policy/latency.rs
@@ -11,7 +11,7 @@
 const MIN_RELATIVE_SLOWNESS: f64 = 0.05;
 /// Highest relative slowness of a sample, so that a few samples cannot make a server's value extreme.
 const MAX_RELATIVE_SLOWNESS: f64 = 8.0;
-/// Lower bound of a class's typical latency ratio where it is a divisor.
+/// Lower bound of a class's typical latency ratio, because other values are divided by it.
 const MIN_TYPICAL_RATIO: f64 = 0.001;
 /// Lower bound of a class's typical latency in milliseconds, because other values are divided by it.
 const MIN_TYPICAL_LATENCY_MS: f64 = 0.001;
@@ -30,8 +30,8 @@
     ratio: f64,
     /// Number of samples recorded.
     samples: u32,
-    /// Smoothed quotient of the latency ratio and the typical one of the class. The average falls faster than
-    /// it rises, so that it shows how slow the machine is without congestion.
+    /// Smoothed ratio of the latency of an attempt to the typical latency of its class. The average falls
+    /// faster than it rises, so that it shows how slow the machine is without congestion.
     relative_slowness: f64,
 }
 
@@ -63,6 +63,7 @@
         self.relative_slowness
     }
 
+    /// Records the latency ratio of an attempt.
     fn record(&mut self, ratio: f64) {
         if self.samples == 0 {
             self.ratio = ratio;
@@ -118,7 +119,7 @@
         LatencyRatio::new(self.classes[class.0].typical_ratio)
     }
 
-    /// Returns the recent latency ratio of a class, congestion included.
+    /// Returns the average latency ratio of a class's recent successful attempts, congestion included.
     pub fn current_ratio(&self, class: ClassId) -> LatencyRatio {
         LatencyRatio::new(self.classes[class.0].current_ratio)
     }
@@ -134,7 +135,8 @@
         (self.typical_ratio(class).value() * objective_ms).max(MIN_TYPICAL_LATENCY_MS)
     }
 
-    /// Estimates the work for a request: its cost hint, or the typical latency of its class without one.
+    /// Estimates the work for a request by its cost hint or, without a hint, by the typical latency of its
+    /// class.
     pub fn estimated_work(&self, settings: &Settings, request: &Request) -> Work {
         let typical_latency_ms = || self.typical_latency_ms(settings, request.class);
         let work_ms = request.cost_hint.map_or_else(typical_latency_ms, Span::as_millis_f64);
@@ -153,8 +155,8 @@
         LatencyRatio::new(ratio.max(MIN_RATIO))
     }
 
-    /// Records the latency ratio of a successful attempt for its class and for the relative slowness of its
-    /// server.
+    /// Updates the latency of a class and the relative slowness of a server with the latency ratio of a
+    /// successful attempt.
     pub fn record_success(&mut self, class: ClassId, ratio: LatencyRatio, server: &mut ServerLatency) {
         let ratio = ratio.value();
         let class = &mut self.classes[class.0];
@@ -165,8 +167,8 @@
         update_recent_average(&mut class.current_ratio, ratio);
     }
 
-    /// Records the latency ratio of an attempt that shows load, successful or not, for its server and for the
-    /// machine kind of the server.
+    /// Updates the latency of a server and of its machine kind with the latency ratio of an attempt,
+    /// successful or not. Attempts that show nothing about the load of the server must not be recorded.
     pub fn record_sample(&mut self, kind: MachineKindId, ratio: LatencyRatio, server: &mut ServerLatency) {
         let ratio = ratio.value();
         let initial = MachineKindLatency { ratio: self.median_ratio, samples: 1.0 };
@@ -176,7 +178,8 @@
         server.record(ratio);
     }
 
-    /// Recomputes the median from the servers that have samples; keeps the old median if no server has any.
+    /// Recomputes the median from the servers that have samples. Keeps the old median if no server has
+    /// samples.
     pub fn refresh_median<'a>(&mut self, servers: impl Iterator<Item = &'a ServerLatency>) {
         let sampled = servers.filter(|server| server.samples > 0);
         let median = median(sampled.map(|server| server.ratio));
@@ -189,7 +192,7 @@
         self.machine_kinds.len()
     }
 
-    /// Removes the latencies of all machine kinds but the `known` ones.
+    /// Removes the latencies of all machine kinds except the `known` ones.
     pub fn retain_machine_kinds(&mut self, known: &BTreeSet<MachineKindId>) {
         self.machine_kinds.retain(|kind, _| known.contains(kind));
     }
--- a/crates/balancer-core/src/policy/routing/candidates.rs
+++ b/crates/balancer-core/src/policy/routing/candidates.rs
@@ -7,11 +7,13 @@
 use crate::policy::fleet::{FleetView, ServerIndex};
 use fastrand::Rng;
 
-/// Maximum number of random servers that are examined per wanted candidate. Servers that are not eligible are
-/// discarded (rejection sampling). The limit keeps the cost of a choice independent of the size of the fleet.
+/// Maximum number of servers that are drawn at random for each wanted candidate.
+///
+/// A drawn server that is not eligible is discarded (rejection sampling). The limit keeps the cost of the
+/// draws independent of the size of the fleet.
 const MAX_TRIES_PER_DRAW: usize = 4;
 
-/// Collects the candidates for one request.
+/// A search for the candidates for one request.
 pub struct CandidateSearch<'a> {
     /// The state of the balancer.
     pub context: &'a RoutingContext<'a>,
@@ -19,15 +21,15 @@
     pub memory: &'a ServerMemory,
     /// The request to be sent.
     pub request: &'a RoutingRequest,
-    /// How many servers to draw.
-    pub sample: SampleSize,
+    /// The sample size, which determines how many servers are drawn.
+    pub sample_size: SampleSize,
 }
 
 impl CandidateSearch<'_> {
     /// Returns servers drawn uniformly from the eligible ones, followed by the eligible remembered servers.
     ///
-    /// If there are none, all serving servers are examined; those that the request has tried before are used
-    /// only if no other server is eligible.
+    /// If this yields no candidate, all serving servers are examined. Servers that the request has tried
+    /// before are then used only if no other server is eligible.
     pub fn find(&self, rng: &mut Rng) -> Vec<ServerIndex> {
         let mut candidates = Vec::with_capacity(MAX_CANDIDATES + 1);
         self.add_random(&mut candidates, rng);
@@ -41,8 +43,8 @@
     /// Adds servers drawn uniformly at random that are eligible and were not tried before.
     fn add_random(&self, candidates: &mut Vec<ServerIndex>, rng: &mut Rng) {
         let serving = self.context.fleet.serving();
-        for _ in 0..MAX_TRIES_PER_DRAW * self.sample.draws {
-            if candidates.len() >= self.sample.draws || serving.is_empty() {
+        for _ in 0..MAX_TRIES_PER_DRAW * self.sample_size.draws {
+            if candidates.len() >= self.sample_size.draws || serving.is_empty() {
                 return;
             }
             let server = serving[rng.usize(0..serving.len())];
@@ -61,8 +63,9 @@
             if !self.context.is_eligible_and_untried(server, self.request) {
                 continue;
             }
-            // A remembered server passed slow start when it was first chosen. A second check would reduce its
-            // requests to the square of its capacity share. While candidates are polled, all are checked.
+            // A remembered server passed slow start when it was first chosen. With a second check, it would
+            // be sent requests in proportion to the square of its capacity share. While candidates are
+            // polled, remembered servers are checked too.
             let has_passed = self.memory.contains(server) && !self.context.load_polling.is_enabled();
             if has_passed || self.passes_slow_start(server, rng) {
                 candidates.push(server);
@@ -76,7 +79,7 @@
         let eligible = serving.filter(|&server| self.context.is_eligible(server, self.request));
         let (tried, untried): (Vec<_>, Vec<_>) = eligible.partition(|&server| self.request.has_tried(server));
         let pool = if untried.is_empty() { tried } else { untried };
-        for _ in 0..self.sample.draws.min(pool.len()) {
+        for _ in 0..self.sample_size.draws.min(pool.len()) {
             candidates.push(pool[rng.usize(0..pool.len())]);
         }
     }
@@ -93,16 +96,18 @@
                 self.context.slow_start.admits_candidate(
                     self.context.settings,
                     share,
-                    self.competitor_count(),
+                    self.idle_selection_factor(),
                     rng,
                 )
             }
         }
     }
 
-    /// Returns the number of candidates that a server without load wins against: all of them if their loads
-    /// are known from polls, and otherwise 1, because only chance decides.
-    fn competitor_count(&self) -> usize {
+    /// Returns the factor by which an idle server is selected more often than an average candidate.
+    ///
+    /// If candidates are polled, their loads are known, and an idle server is selected instead of all other
+    /// candidates. Otherwise chance decides between the candidates, and the factor is 1.
+    fn idle_selection_factor(&self) -> usize {
         if self.context.load_polling.is_enabled() {
             MAX_CANDIDATES
         } else {
--- a/crates/balancer-core/src/policy/routing/context.rs
+++ b/crates/balancer-core/src/policy/routing/context.rs
@@ -21,7 +21,7 @@
     pub latency: &'a FleetLatency,
     /// The current admission probability, which also scales the concurrency limits.
     pub admission: Probability,
-    /// How servers that are warming up compare with warm servers.
+    /// The recent work and the latencies of warm servers and of servers that are warming up.
     pub slow_start: &'a SlowStart,
     /// Which servers and zones are suspected.
     pub suspicion: &'a SuspicionTracker,
@@ -37,7 +37,7 @@
         self.fleet.view()
     }
 
-    /// Returns the share of its full capacity that a server is known to have now.
+    /// Returns the share of its full capacity that a server is known to have at the current time.
     pub fn capacity_share(&self, server: &ServerState) -> CapacityShare {
         capacity_share(self.settings, &server.endpoint, self.now)
     }
--- a/crates/balancer-core/src/policy/routing/memory.rs
+++ b/crates/balancer-core/src/policy/routing/memory.rs
@@ -39,8 +39,8 @@
         self.server_by_key.len()
     }
 
-    /// Remembers the chosen server as the most recent one. Forgets and returns the least recently chosen
-    /// servers if there are more than `capacity`.
+    /// Remembers the chosen server as the most recent one. If more than `capacity` servers are remembered,
+    /// forgets and returns the least recently chosen ones.
     pub fn remember(&mut self, server: ServerIndex, capacity: usize) -> Vec<ServerIndex> {
         self.forget(server);
         self.servers.insert(0, server);
--- a/crates/balancer-core/src/policy/routing/request.rs
+++ b/crates/balancer-core/src/policy/routing/request.rs
@@ -8,10 +8,10 @@
 use crate::units::Work;
 use crate::{ClassId, RequestId, RoutingKey};
 
-/// Lower bound of the relative work in the slowness sensitivity of a request. Relative work is the request's
-/// work divided by the typical work of its class.
+/// Lower bound of the relative work from which the slowness sensitivity of a request is computed. The
+/// relative work is the estimated work of the request divided by the typical work of its class.
 const MIN_RELATIVE_WORK: f64 = 1.0;
-/// Upper bound of the relative work in the slowness sensitivity of a request.
+/// Upper bound of the relative work from which the slowness sensitivity of a request is computed.
 const MAX_RELATIVE_WORK: f64 = 9.0;
 
 /// The properties of a request that server selection depends on.
@@ -27,7 +27,8 @@
     /// How strongly selection avoids slow servers: 1 for a request with at most the typical work of its
     /// class, and more for a request with more work.
     pub slowness_sensitivity: f64,
-    /// The routing key, if servers serve a known key with less work; otherwise `None`.
+    /// The routing key of the request; `None` if the request has no key or if servers do not serve a known
+    /// key with less work.
     pub routing_key: Option<RoutingKey>,
     /// The server that the routing key was last sent to.
     pub key_server: Option<ServerIndex>,
--- a/crates/balancer-core/src/policy/routing/router.rs
+++ b/crates/balancer-core/src/policy/routing/router.rs
@@ -9,9 +9,10 @@
 use crate::policy::fleet::{FleetView, ServerIndex, ServerRegistry};
 use crate::policy::requests::ActiveRequest;
 
-/// Selects servers for requests and remembers the servers that it selected.
+/// The component that selects servers for requests and remembers the selected servers.
 #[derive(Default)]
 pub struct Router {
+    /// The remembered servers and routing keys.
     memory: ServerMemory,
 }
 
@@ -28,8 +29,8 @@
         request: &RoutingRequest,
         rng: &mut fastrand::Rng,
     ) -> Vec<ServerIndex> {
-        let sample = SampleSize::of(context.view());
-        CandidateSearch { context, memory: &self.memory, request, sample }.find(rng)
+        let sample_size = SampleSize::of(context.view());
+        CandidateSearch { context, memory: &self.memory, request, sample_size }.find(rng)
     }
 
     /// Returns the least loaded of the candidates; `None` if there are none.
@@ -44,7 +45,7 @@
     }
 
     /// Remembers the server that a request is sent to, also for the request's routing key. Returns the
-    /// servers that are forgotten because too many are remembered.
+    /// servers that are forgotten to make room.
     pub fn remember(
         &mut self,
         server: ServerIndex,
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -7,8 +7,8 @@
 use crate::policy::suspicion::SUSPECTED_WEIGHT_FACTOR;
 use crate::{EndpointWeights, Settings};
 
-/// Increase of the cross-zone factor and the open-connection factor for each percent of a request that a zone
-/// crossing or a handshake costs.
+/// Increase of the cross-zone factor and the open-connection factor for each percent of a request's value
+/// that a zone crossing or a handshake costs.
 const FACTOR_INCREASE_PER_PERCENT: f64 = 0.25;
 /// Converts a fraction to percent.
 const PERCENT_FACTOR: f64 = 100.0;
@@ -47,13 +47,13 @@
 struct CandidateRank {
     /// The load according to the balancer's own requests in flight.
     own_load: i64,
-    /// The load according to the server's reports; zero in a sparse view without polling.
+    /// The load according to the server's last report; zero in a sparse view without polling.
     reported_load: i64,
     /// A random number of zero or more, as the bits of an `f64`. The bits have the same order as the numbers.
     tie_break: u64,
 }
 
-/// Ranks the candidates for one request.
+/// The ranking of the candidates for one request.
 pub struct Ranking<'a> {
     /// The state of the balancer.
     pub context: &'a RoutingContext<'a>,
@@ -65,6 +65,7 @@
 
 impl Ranking<'_> {
     /// Returns the candidate with the lowest own load. Ties are broken by load reports, then at random.
+    /// Returns `None` if there are no candidates.
     pub fn least_loaded(&self, candidates: &[ServerIndex], rng: &mut fastrand::Rng) -> Option<ServerIndex> {
         candidates.iter().copied().min_by_key(|&candidate| self.rank(candidate, rng.f64()))
     }
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Ranks a candidate in a dense view: by own requests in flight, multiplied by factors for the slowness
-    /// of the server, the cost of crossing zones and a known routing key.
+    /// Ranks a candidate in a dense view by own requests in flight, multiplied by factors for the slowness of
+    /// the server, the cost of crossing zones and a known routing key.
     ///
     /// The product is rounded on a logarithmic scale.
     fn dense_rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
@@ -94,10 +95,10 @@
         }
     }
 
-    /// Ranks a candidate in a sparse view: by own requests in flight without factors.
+    /// Ranks a candidate in a sparse view by own requests in flight, without factors.
     ///
     /// The random tie-break is weighted by the candidate's estimated capacity and, for a remembered server,
-    /// by the cost of the handshake that its open connection saves.
+    /// by the cost of the handshake that is saved by its open connection.
     fn sparse_rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
         let server = &self.context.fleet[candidate];
         let is_remembered = self.memory.contains(candidate);
@@ -114,8 +115,10 @@
         }
     }
 
-    /// Returns the tie-break weight of a server by its estimated capacity, which is the listed size divided
-    /// by the expected load and latency. The weight of a suspected server is reduced.
+    /// Returns the tie-break weight of a server, which grows with its estimated capacity.
+    ///
+    /// The estimated capacity is the listed size divided by the expected load and latency. The weight of a
+    /// suspected server is reduced.
     fn capacity_weight(&self, server: &ServerState) -> f64 {
         let context = self.context;
         let size = listed_size(context.settings, server);
@@ -131,8 +134,8 @@
 
 /// Returns the number of own requests at the server, including the one to be sent.
 ///
-/// The number is zero for an ejected server, which is a candidate only if a probe is due: with its actual
-/// load it would never be selected.
+/// The number is zero for an ejected server. Such a server is a candidate only if a probe is due, and it
+/// would never be selected for the probe with its actual load.
 fn own_requests(server: &ServerState) -> f64 {
     if server.health.is_ejected() {
         return 0.0;
--- a/crates/balancer-core/src/policy/server_load/load_reports.rs
+++ b/crates/balancer-core/src/policy/server_load/load_reports.rs
@@ -1,10 +1,10 @@
-//! Reads load reports and averages the loads in them.
+//! The loads in load reports, and their average over all servers.
 
 use super::reported_load::ReportedLoad;
 use crate::policy::smoothing::update_recent_average;
 use crate::{LoadReport, LoadReportField, Settings, Time};
 
-/// Exclusive upper bound of plausible loads, in requests. A reported load outside the bounds is ignored.
+/// Exclusive upper bound of plausible loads, in requests. The lower bound is zero.
 const MAX_PLAUSIBLE_LOAD: f64 = 1e4;
 
 /// Returns whether this field of a load report contains the load of a server, in requests.
--- a/crates/balancer-core/src/policy/server_load/polling.rs
+++ b/crates/balancer-core/src/policy/server_load/polling.rs
@@ -1,4 +1,4 @@
-//! Polls candidates for their load, with health checks, before one of them is selected.
+//! Polls of candidates for their load, by health checks, before one of them is selected.
 
 use super::load_reports::is_load_field;
 use crate::policy::fleet::{FleetView, ServerIndex, ServerRegistry};
@@ -13,9 +13,11 @@
 
 /// A request whose candidates are being polled for their load.
 pub struct LoadPoll {
+    /// The request that waits for the poll to end.
     request: RequestId,
     /// The servers that are polled, each once.
     candidates: Vec<ServerIndex>,
+    /// When the poll was started.
     started_at: Time,
     /// When the poll ends, even if not all candidates have reported.
     deadline: Time,
@@ -61,6 +63,7 @@
 /// The unfinished polls, and whether candidates are polled at all.
 #[derive(Default)]
 pub struct LoadPolling {
+    /// Whether candidates are polled before one of them is selected.
     is_enabled: bool,
     /// The unfinished polls, in the order in which they were started.
     polls: Vec<LoadPoll>,
@@ -69,8 +72,9 @@
 impl LoadPolling {
     /// Enables or disables polling after a change of the view.
     ///
-    /// Candidates are polled in a sparse view, where the balancer's own requests in flight say little about a
-    /// server's load, if load reports come only with health checks, contain a load and cost little.
+    /// Candidates are polled only in a sparse view, where the balancer's own requests in flight say little
+    /// about a server's load. In addition, health checks must be cheap and the only source of reports on
+    /// load.
     pub fn set_view(&mut self, view: FleetView, settings: &Settings) {
         self.is_enabled = match view {
             FleetView::Dense => false,
@@ -114,8 +118,8 @@
     }
 }
 
-/// Returns whether health checks are allowed, cheap enough and the only source of load reports, and return a
-/// load.
+/// Returns whether health checks are allowed, are the only source of load reports, return a load, and are
+/// cheap enough to poll all candidates of a request.
 fn is_polling_worthwhile(settings: &Settings) -> bool {
     settings.allows_health_checks
         && settings.load_report_source == LoadReportSource::HealthChecks
--- a/crates/balancer-core/src/policy/server_load/reported_load.rs
+++ b/crates/balancer-core/src/policy/server_load/reported_load.rs
@@ -15,7 +15,7 @@
 }
 
 impl ReportedLoad {
-    /// Creates the record of a report that arrived at `now`.
+    /// Creates the state after a report that arrived at `now`.
     pub fn new(load: f64, now: Time) -> Self {
         ReportedLoad { load, reported_at: Some(now), sends_since: 0 }
     }
@@ -38,7 +38,7 @@
         self.load + f64::from(self.sends_since)
     }
 
-    /// Returns the estimated load at `now`: a weighted mean of the last known load and `mean_load`.
+    /// Returns the expected load at `now`: a weighted mean of the last known load and `mean_load`.
     ///
     /// The weight of the last known load decays exponentially with the age of the report; the time constant
     /// is `decay_ms`.
--- a/crates/balancer-core/src/policy/shedding/class_order.rs
+++ b/crates/balancer-core/src/policy/shedding/class_order.rs
@@ -1,4 +1,4 @@
-//! Decides which classes are shed first.
+//! The order in which classes are shed.
 
 use super::traffic::Traffic;
 use crate::policy::latency::FleetLatency;
@@ -8,47 +8,49 @@
 /// queued requests are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedOrder {
-    /// Shed only if it is not enough to shed the requests with [`First`](Self::First).
+    /// Shed only if shedding the requests with [`First`](Self::First) is not enough.
     Last,
-    /// Shed before the others.
+    /// Shed before the requests with [`Last`](Self::Last).
     First,
 }
 
-/// The work of the servers for the recent traffic of a class, and the value of serving this traffic.
+/// The work that the recent traffic of a class causes, and the value of serving this traffic.
 struct ClassLoad {
     class: ClassId,
     /// Typical work for the recent requests, in milliseconds.
-    work: f64,
+    work_ms: f64,
     /// Value of the recent requests: the priority weight times their number or work.
     value: f64,
 }
 
 impl ClassLoad {
+    /// Creates the load of a class from the recent traffic and the typical latency of the class.
     fn new(settings: &Settings, traffic: &Traffic, latency: &FleetLatency, class: ClassId) -> Self {
         let requests = traffic.requests_of_class(class);
-        let work = requests * latency.typical_latency_ms(settings, class);
+        let work_ms = requests * latency.typical_latency_ms(settings, class);
         let volume = match settings.value_basis {
-            ValueBasis::Work => work,
+            ValueBasis::Work => work_ms,
             ValueBasis::Requests => requests,
         };
         let value = settings.class(class).priority_weight * volume;
-        ClassLoad { class, work, value }
+        ClassLoad { class, work_ms, value }
     }
 
+    /// Returns the value per millisecond of work.
     fn value_per_work(&self) -> f64 {
-        self.value / self.work
+        self.value / self.work_ms
     }
 }
 
 /// Returns the shed order of each class, by class id (docs/findings/fleet-shares.md).
 ///
-/// The cost of shedding a set of classes is their value and, once per set, the term of the goal that depends
-/// on the worst class. The set with the lowest cost per work freed is shed first. Classes without traffic are
-/// shed first too.
+/// The cost of shedding a set of classes has two terms: the value of their requests, and the loss in the
+/// result of the worst class. The second term is the same for all sets, and the goal weights both terms. The
+/// set with the lowest cost per work freed is shed first. Classes without traffic are shed first too.
 pub fn rank_classes(settings: &Settings, traffic: &Traffic, latency: &FleetLatency) -> Vec<ShedOrder> {
     let classes = (0..settings.classes.len()).map(ClassId);
     let loads = classes.map(|class| ClassLoad::new(settings, traffic, latency, class));
-    let mut ranked: Vec<ClassLoad> = loads.filter(|load| load.work > 0.0).collect();
+    let mut ranked: Vec<ClassLoad> = loads.filter(|load| load.work_ms > 0.0).collect();
     ranked.sort_by(|a, b| a.value_per_work().total_cmp(&b.value_per_work()));
 
     let mut order = vec![ShedOrder::First; settings.classes.len()];
@@ -64,13 +66,13 @@
     let goal = &settings.goal;
     let total_value: f64 = ranked.iter().map(|load| load.value).sum();
     let mut lost_value = goal.worst_class * total_value;
-    let mut freed_work = 0.0;
+    let mut freed_work_ms = 0.0;
     let mut lowest_cost = f64::INFINITY;
     let mut set_size = 0;
     for (position, load) in ranked.iter().enumerate() {
         lost_value += (goal.overall + goal.worst_window) * load.value;
-        freed_work += load.work;
-        let cost = lost_value / freed_work;
+        freed_work_ms += load.work_ms;
+        let cost = lost_value / freed_work_ms;
         if cost < lowest_cost {
             lowest_cost = cost;
             set_size = position + 1;
--- a/crates/balancer-core/src/policy/shedding/shedder.rs
+++ b/crates/balancer-core/src/policy/shedding/shedder.rs
@@ -1,4 +1,4 @@
-//! Decides which requests are shed first, by their class and by their tenant's share.
+//! The order in which requests are shed, by their class and by their tenant's share.
 
 use super::class_order::{rank_classes, ShedOrder};
 use super::traffic::Traffic;
@@ -12,6 +12,7 @@
 
 /// The recent traffic, and the order in which classes are shed.
 pub struct LoadShedder {
+    /// The recent traffic.
     traffic: Traffic,
     /// The shed order of each class, by class id.
     class_shed_order: Vec<ShedOrder>,
@@ -31,11 +32,11 @@
         self.traffic.count(now, request);
     }
 
-    /// Decides whether a request exceeds its tenant's share.
+    /// Decides, partly at random, whether a request is over its tenant's share.
     ///
-    /// If a tenant's fraction of this balancer's traffic exceeds its share and the slack, a random fraction
-    /// of its requests, as large as the excess, is shed first. The balancer uses its own traffic as a sample,
-    /// because no balancer sees all traffic.
+    /// If a tenant's fraction of this balancer's traffic exceeds `SHARE_SLACK_FACTOR` times its share, a
+    /// random fraction of the tenant's requests, as large as the excess, is over the share. The balancer uses
+    /// its own traffic as a sample, because no balancer sees all traffic.
     pub fn is_over_share(&self, settings: &Settings, request: &Request, rng: &mut fastrand::Rng) -> bool {
         let Some(tenant) = request.tenant else { return false };
         let Some(tenant_settings) = settings.tenants.get(tenant.0) else { return false };
@@ -52,8 +53,8 @@
         self.class_shed_order[class.0]
     }
 
-    /// Returns the shed order of a request: a request over its tenant's share is shed first, any other one in
-    /// the order of its class.
+    /// Returns the shed order of a request: a request over its tenant's share is shed first, and any other
+    /// request has the shed order of its class.
     pub fn shed_order(&self, active: &ActiveRequest) -> ShedOrder {
         if active.is_over_share {
             ShedOrder::First
--- a/crates/balancer-core/src/policy/shedding/traffic.rs
+++ b/crates/balancer-core/src/policy/shedding/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of the requests of the last seconds, by class and by tenant.
+//! Counts of recent requests, by class and by tenant.
 
 use crate::policy::smoothing::decay_factor;
 use crate::{ClassId, Request, TenantId, Time};
@@ -44,7 +44,7 @@
         self.by_class[class.0]
     }
 
-    /// Returns the request count of a tenant that the settings contain.
+    /// Returns the request count of a tenant, which the settings must contain.
     pub fn requests_of_tenant(&self, tenant: TenantId) -> f64 {
         self.by_tenant[tenant.0]
     }
--- a/crates/balancer-core/src/policy/slow_start.rs
+++ b/crates/balancer-core/src/policy/slow_start.rs
@@ -1,6 +1,8 @@
-//! Slow start: a server that is warming up is sent no more work than it is known to have capacity for, so
-//! that all balancers together cannot overload it. The balancers need no coordination, because each of them
-//! limits its own traffic.
+//! Slow start, which limits the work that is sent to servers that are warming up.
+//!
+//! A server that is warming up is sent no more work than it is known to have capacity for, so that all
+//! balancers together cannot overload it. The balancers need no coordination, because each of them limits its
+//! own traffic.
 //!
 //! In a dense view a server that is warming up is sent at most its capacity share of the work that a warm
 //! server was sent recently ([`SlowStart::exceeds_share`]). In a sparse view the server is a candidate only
@@ -21,6 +23,7 @@
 /// Work that one server was sent recently while it was warming up, in milliseconds.
 #[derive(Default)]
 pub struct WarmUpWork {
+    /// The decaying sum of the work.
     sum: DecayingSum,
 }
 
@@ -90,6 +93,7 @@
         }
     }
 
+    /// Records work that is sent to one of the warm servers.
     fn record_warm_work(&mut self, now: Time, decay_ms: f64, work: Work) {
         let work_per_server_ms = work.as_millis_f64() / self.warm_server_count.max(1) as f64;
         self.work_per_warm_server.add(now, decay_ms, work_per_server_ms);
@@ -104,7 +108,7 @@
     /// recent work of a warm server.
     ///
     /// With this limit all balancers together cannot overload the server as long as warm servers are limited
-    /// too.
+    /// too. While no serving server is warm, the work is not limited.
     pub fn exceeds_share(&self, server: &WarmUpWork, share: CapacityShare, work: Work, now: Time) -> bool {
         if share.is_full() || self.warm_server_count == 0 {
             return false;
@@ -115,23 +119,24 @@
 
     /// Decides at random whether a server with this capacity share may be a candidate now.
     ///
-    /// In a sparse view every balancer sees a server that is warming up as idle, and together they would
-    /// overload it. Each balancer therefore admits the server as a candidate only with a probability: its
-    /// capacity share, raised while servers that are warming up respond sooner than warm ones
-    /// (docs/findings/fleet-join.md and fleet-shares.md). Where the least loaded candidate is selected, an
-    /// idle server is selected instead of `competitors` other candidates, and the probability is divided by
-    /// their number.
+    /// In a sparse view every balancer sees a server that is warming up as idle, and all balancers together
+    /// would overload it. Each balancer therefore admits the server as a candidate only with a probability.
+    /// The probability is the capacity share, raised while servers that are warming up respond faster than
+    /// warm ones (docs/findings/fleet-join.md and fleet-shares.md).
+    ///
+    /// The probability is divided by `selection_factor`, the factor by which an idle server is selected more
+    /// often than an average candidate.
     pub fn admits_candidate(
         &self,
         settings: &Settings,
         share: CapacityShare,
-        competitors: usize,
+        selection_factor: usize,
         rng: &mut fastrand::Rng,
     ) -> bool {
         let max_factor = (SAFE_OVERLOAD_FRACTION * settings.overload_factor).max(1.0);
         let factor = self.relative_speed().clamp(1.0, max_factor);
         let allowed_share = (share.value() * factor).min(1.0);
-        allowed_share >= 1.0 || rng.f64() * (competitors as f64) < allowed_share
+        allowed_share >= 1.0 || rng.f64() * (selection_factor as f64) < allowed_share
     }
 
     /// Returns the speed of servers that are warming up relative to warm servers: 2 means half the latency.
--- a/crates/balancer-core/src/policy/smoothing.rs
+++ b/crates/balancer-core/src/policy/smoothing.rs
@@ -6,7 +6,7 @@
 const RECENT_GAIN: f64 = 0.12;
 /// Weight of a new value that is lower than the typical value.
 const TYPICAL_GAIN: f64 = 0.04;
-/// Fraction of [`TYPICAL_GAIN`] that is the weight of a new value that is not lower than the typical value.
+/// Weight of a new value that is not lower than the typical value, as a fraction of [`TYPICAL_GAIN`].
 const TYPICAL_RISE_FRACTION: f64 = 0.25;
 
 /// Updates an exponential moving average of recent values with a new value.
@@ -14,8 +14,10 @@
     *average += RECENT_GAIN * (value - *average);
 }
 
-/// Updates a typical value with a new value. A typical value changes more slowly than an average of recent
-/// values, and rises more slowly than it falls, so that congestion is not mistaken for the typical state.
+/// Updates a typical value with a new value.
+///
+/// A typical value changes more slowly than an average of recent values, and rises more slowly than it falls,
+/// so that congestion is not mistaken for the typical state.
 pub fn update_typical_value(typical: &mut f64, value: f64) {
     let gain = if value < *typical { TYPICAL_GAIN } else { TYPICAL_GAIN * TYPICAL_RISE_FRACTION };
     *typical += gain * (value - *typical);
@@ -28,6 +30,7 @@
     sum: f64,
     /// Time constant of the decay, in milliseconds.
     decay_ms: f64,
+    /// When the last amount was added.
     updated_at: Time,
 }
 
@@ -49,7 +52,8 @@
     (-elapsed.as_millis_f64() / decay_ms).exp()
 }
 
-/// Returns the median of `values`, the upper one if their number is even; `None` without values.
+/// Returns the median of `values`, or `None` if there are no values. For an even number of values, the upper
+/// of the two middle values is returned.
 pub fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/balancer-core/src/policy/tick.rs
+++ b/crates/balancer-core/src/policy/tick.rs
@@ -9,6 +9,7 @@
 
 /// The schedule of ticks, in which the balancer does its periodic work.
 pub struct TickSchedule {
+    /// When the next tick is due.
     next_tick: Time,
 }
 
@@ -30,8 +31,8 @@
         self.next_tick
     }
 
-    /// Brings the next tick forward for a request that was queued, and returns its time; `None` if the next
-    /// tick is due soon enough.
+    /// Brings the next tick forward after a request was queued. Returns the new time of the tick, or `None`
+    /// if the tick is due soon enough already.
     ///
     /// A tick is never postponed. Otherwise, if requests were queued more often than ticks come, no tick
     /// would ever be due, and the queued requests would miss their deadlines.
--- a/crates/balancer-core/src/policy/token_bucket.rs
+++ b/crates/balancer-core/src/policy/token_bucket.rs
@@ -22,7 +22,7 @@
         self.balance = (self.balance + amount).min(max);
     }
 
-    /// Subtracts `amount` from the balance. Does not check that the balance is large enough.
+    /// Subtracts `amount` from the balance, which becomes negative if it is too small.
     pub fn spend(&mut self, amount: f64) {
         self.balance -= amount;
     }
--- a/crates/balancer-core/src/policy/wait_queue.rs
+++ b/crates/balancer-core/src/policy/wait_queue.rs
@@ -2,18 +2,18 @@
 
 use crate::RequestId;
 
-/// Highest number of queued requests.
+/// Maximum number of queued requests.
 const MAX_QUEUED_REQUESTS: usize = 500;
 
 /// Error of [`WaitQueue::push`]: the queue is full.
 #[derive(Debug)]
 pub struct QueueFull;
 
-/// Queued requests, newest first. If the oldest requests were sent first, every request would wait until
-/// shortly before its deadline.
+/// The queued requests. Of several requests with the same rank, the newest is sent first. If the oldest
+/// requests were sent first, every request would wait until shortly before its deadline.
 #[derive(Default)]
 pub struct WaitQueue {
-    /// The ids of the queued requests, newest first.
+    /// The ids of the queued requests. A new request is added before the others.
     requests: Vec<RequestId>,
 }
 
@@ -36,14 +36,16 @@
         Ok(())
     }
 
-    /// Removes all requests from the queue and returns them by ascending rank, newest first within each rank.
+    /// Removes all requests from the queue and returns them by ascending rank. Requests with the same rank
+    /// keep their order in the queue, which is newest first.
     pub fn take_by_rank<R: Ord>(&mut self, rank: impl Fn(RequestId) -> R) -> Vec<RequestId> {
         let mut requests = std::mem::take(&mut self.requests);
         requests.sort_by_cached_key(|&request| rank(request));
         requests
     }
 
-    /// Puts back requests that [`take_by_rank`](Self::take_by_rank) has returned, in the given order.
+    /// Puts requests that [`take_by_rank`](Self::take_by_rank) has returned back into the empty queue, in the
+    /// given order.
     pub fn restore(&mut self, requests: Vec<RequestId>) {
         self.requests = requests;
     }
--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -2,11 +2,12 @@
 
 use crate::{Span, Time};
 
-/// Delay before a watch is reopened after its first failure, before jitter.
+/// Delay between the first failure of a watch and its reopening, before jitter.
 const MIN_BACKOFF: Span = Span::from_millis(200);
 /// Factor by which the delay grows with each failure.
 const BACKOFF_FACTOR: f64 = 2.0;
-/// Longest delay before jitter, as a fraction of the interval at which the endpoint list must be polled.
+/// Longest delay before jitter, as a fraction of
+/// [`Settings::max_poll_interval`](crate::Settings::max_poll_interval).
 const MAX_BACKOFF_FRACTION: f64 = 0.25;
 /// Lowest factor by which jitter multiplies a delay; the highest factor is greater by 1.
 const MIN_JITTER: f64 = 0.5;
