--- a/crates/balancer-core/src/policy.rs
+++ b/crates/balancer-core/src/policy.rs
@@ -2,9 +2,11 @@
 //!
 //! Each component is a module with private state, its rules and their constants. A component takes what it
 //! needs as arguments (the time, the settings, the fleet, the random number generator) and returns its
-//! decisions. [`Balancer`](crate::Balancer) owns the components, calls them in order and turns their
-//! decisions into actions. The state that a component keeps for each server is a type of its own, stored in a
-//! field of [`fleet::ServerState`].
+//! decisions.
+//!
+//! [`Balancer`](crate::Balancer) owns the components, calls them in order and turns their decisions into
+//! actions. The state that a component keeps for each server is a type of its own, stored in a field of
+//! [`fleet::ServerState`].
 //!
 //! The deploy file lists every file of this module under `policy`.
 
--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -14,8 +14,8 @@
 
 /// Latency ratio from which an attempt is slow.
 ///
-/// At this ratio a server holds several requests per core, and it becomes even slower if this lasts. Counting
-/// only late attempts would detect an overload too late (docs/findings/fleet-jams.md).
+/// At this ratio a server holds several requests per core, and it becomes even slower if this state lasts.
+/// Counting only late attempts would detect an overload too late (docs/findings/fleet-jams.md).
 pub const SLOW_RATIO: LatencyRatio = LatencyRatio::new(2.0 * TARGET_RATIO.value());
 /// Fraction of the probability that is lost in a round trip of slow attempts.
 const DECREASE_FRACTION: f64 = 0.6;
@@ -106,8 +106,10 @@
     ///
     /// In a sparse view the probability changes in proportion to the capacity: the endpoint list shows that
     /// the fleet has shrunk before any server is slow, and a fleet that warms up can serve more
-    /// (docs/findings/fleet-join.md). A capacity of zero, from an empty endpoint list, is ignored, because
-    /// it does not predict the capacity of the next list.
+    /// (docs/findings/fleet-join.md).
+    ///
+    /// A capacity of zero, from an empty endpoint list, is ignored, because it does not predict the capacity
+    /// of the next list.
     pub fn update_capacity(&mut self, capacity: f64) {
         if capacity <= 0.0 {
             return;
--- a/crates/balancer-core/src/policy/admission/tests.rs
+++ b/crates/balancer-core/src/policy/admission/tests.rs
@@ -6,7 +6,7 @@
 use crate::Settings;
 use crate::{ClassId, Request, RequestClass, RequestId, Span, Time};
 
-const GOOD: LatencyRatio = LatencyRatio::new(0.2);
+const QUICK: LatencyRatio = LatencyRatio::new(0.2);
 const SLOW: LatencyRatio = LatencyRatio::new(0.5);
 
 fn sparse_control() -> AdmissionControl {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_round_trip_of_slow_attempts_cuts_six_tenths() {
+fn a_round_trip_of_slow_attempts_removes_six_tenths() {
     let mut admission = AdmissionControl::new(10);
 
     admission.record(SLOW, 0);
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn a_round_trip_of_good_attempts_gains_a_fifth_of_the_root() {
+fn a_round_trip_of_quick_attempts_gains_a_fifth_of_the_square_root() {
     let mut admission = AdmissionControl::new(10);
     admission.record(SLOW, 0);
 
-    admission.record(GOOD, 0);
+    admission.record(QUICK, 0);
 
     assert_close(admission.probability().value(), 0.4 + 0.2 * 0.4_f64.sqrt());
 }
--- a/crates/balancer-core/src/policy/concurrency.rs
+++ b/crates/balancer-core/src/policy/concurrency.rs
@@ -76,8 +76,10 @@
     ///
     /// The limit shrinks more slowly than the smoothed latency adapts, because the lag of the average would
     /// otherwise make the limit too low. A late attempt or a rejection by a full server is certain evidence
-    /// of overload and reduces the limit at once. The limit grows only while it is fully used: limits that
-    /// grew at low load would let the next burst overload the fleet (docs/findings/case6480.md).
+    /// of overload and reduces the limit at once.
+    ///
+    /// The limit grows only while it is fully used: limits that grew at low load would let the next burst
+    /// overload the fleet (docs/findings/case6480.md).
     pub fn record(&mut self, sample: &LatencySample, min_limit: f64) {
         let overshoot = (sample.smoothed_ratio.value() / TARGET_RATIO.value() - 1.0).min(MAX_OVERSHOOT);
         let is_late = sample.ratio >= LATE_RATIO;
--- a/crates/balancer-core/src/policy/fleet/registry/tests.rs
+++ b/crates/balancer-core/src/policy/fleet/registry/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn complete_list_removes_what_it_leaves_out() {
+fn complete_list_removes_servers_missing_from_it() {
     let mut registry = registry_with(&[SERVER, OTHER]);
 
     registry.update(NOW, vec![Endpoint::serving(OTHER)], true);
--- a/crates/balancer-core/src/policy/routing/candidates.rs
+++ b/crates/balancer-core/src/policy/routing/candidates.rs
@@ -28,8 +28,8 @@
 impl CandidateSearch<'_> {
     /// Returns servers drawn uniformly from the eligible ones, followed by the eligible remembered servers.
     ///
-    /// If this yields no candidate, all serving servers are examined. Servers that the request has tried
-    /// before are then used only if no other server is eligible.
+    /// If no candidate is found in this way, all serving servers are examined. Servers that the request has
+    /// tried before are then used only if no other server is eligible.
     pub fn find(&self, rng: &mut Rng) -> Vec<ServerIndex> {
         let mut candidates = Vec::with_capacity(MAX_CANDIDATES + 1);
         self.add_random(&mut candidates, rng);
--- a/crates/balancer-core/src/policy/routing/memory/tests.rs
+++ b/crates/balancer-core/src/policy/routing/memory/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn server_chosen_longest_ago_is_displaced() {
+fn least_recently_chosen_server_is_forgotten() {
     let [first, second, third] = three_servers();
     let mut memory = ServerMemory::default();
 
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -23,8 +23,8 @@
 /// Exponent of a server's estimated capacity in its tie-break weight.
 ///
 /// Capacity takes effect twice: a server must win a tie-break to be remembered, and then wins further
-/// tie-breaks as a remembered server. With this exponent, requests settle in proportion to estimated capacity
-/// (docs/findings/fleet-handshakes.md).
+/// tie-breaks as a remembered server. With this exponent, servers receive requests in proportion to their
+/// estimated capacities (docs/findings/fleet-handshakes.md).
 const CAPACITY_EXPONENT: f64 = 0.6;
 /// Exponent of the latency ratio by which estimated capacity is divided. With an exponent of 1, slow servers
 /// time out while fast servers idle.
@@ -98,7 +98,7 @@
     /// Ranks a candidate in a sparse view by own requests in flight, without factors.
     ///
     /// The random tie-break is weighted by the candidate's estimated capacity and, for a remembered server,
-    /// by the cost of the handshake that is saved by its open connection.
+    /// by the cost of the handshake that its open connection avoids.
     fn sparse_rank(&self, candidate: ServerIndex, random: f64) -> CandidateRank {
         let server = &self.context.fleet[candidate];
         let is_remembered = self.memory.contains(candidate);
@@ -152,8 +152,8 @@
     factor.clamp(1.0, MAX_CROSS_ZONE_FACTOR)
 }
 
-/// Returns the factor on the tie-break weight of a server with an open connection, for the handshake that
-/// this saves.
+/// Returns the factor on the tie-break weight of a server with an open connection, for the handshake that the
+/// connection avoids.
 fn open_connection_factor(settings: &Settings) -> f64 {
     let handshake_cost = settings.costs.handshake + HANDSHAKE_WORK_FRACTION * settings.costs.wasted_work;
     1.0 + PERCENT_FACTOR * FACTOR_INCREASE_PER_PERCENT * handshake_cost
--- a/crates/balancer-core/src/policy/shedding/class_order.rs
+++ b/crates/balancer-core/src/policy/shedding/class_order.rs
@@ -60,8 +60,8 @@
     order
 }
 
-/// Returns how many of the classes, sorted by ascending value per work, form the set with the lowest cost per
-/// work freed.
+/// Returns how many classes from the start of `ranked` form the set with the lowest cost per work freed.
+/// `ranked` must be sorted by ascending value per work.
 fn cheapest_set_size(settings: &Settings, ranked: &[ClassLoad]) -> usize {
     let goal = &settings.goal;
     let total_value: f64 = ranked.iter().map(|load| load.value).sum();
--- a/crates/balancer-core/src/policy/wait_queue.rs
+++ b/crates/balancer-core/src/policy/wait_queue.rs
@@ -37,7 +37,7 @@
     }
 
     /// Removes all requests from the queue and returns them by ascending rank. Requests with the same rank
-    /// keep their order in the queue, which is newest first.
+    /// keep their order in the queue.
     pub fn take_by_rank<R: Ord>(&mut self, rank: impl Fn(RequestId) -> R) -> Vec<RequestId> {
         let mut requests = std::mem::take(&mut self.requests);
         requests.sort_by_cached_key(|&request| rank(request));
