--- a/crates/balancer-core/src/policy/fleet/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -22,10 +22,10 @@
     index_by_id: BTreeMap<ServerId, ServerIndex>,
     /// Positions of forgotten servers, which can be reused because nothing refers to them.
     free_positions: Vec<ServerIndex>,
-    /// The servers that the endpoint list shows as serving.
+    /// The serving servers, as of the last call of `refresh_serving`.
     serving: Vec<ServerIndex>,
-    /// The largest number of servers that were serving at the same time. The view depends on the peak so that
-    /// it does not become sparse when the fleet shrinks for a while.
+    /// The largest number of servers that were serving at the same time. The view depends on this peak, so
+    /// that it does not become sparse when the fleet shrinks for a while.
     peak_serving: usize,
     /// How much of each server's load this balancer can see.
     view: FleetView,
@@ -49,23 +49,23 @@
         self.index_by_id.get(&server).copied()
     }
 
-    /// The indices of the serving servers.
+    /// Returns the indices of the serving servers.
     pub fn serving(&self) -> &[ServerIndex] {
         &self.serving
     }
 
-    /// The states of the serving servers.
+    /// Returns the states of the serving servers.
     pub fn serving_states(&self) -> impl Iterator<Item = &ServerState> {
         self.serving.iter().map(|&index| &self[index])
     }
 
-    /// How much of each server's load this balancer can see.
+    /// Returns how much of each server's load this balancer can see.
     pub fn view(&self) -> FleetView {
         self.view
     }
 
     /// Applies entries of the endpoint list and returns the servers that have started a new process. If the
-    /// list is complete, servers that are missing from it are removed.
+    /// entries are the complete list, servers that are missing from it are marked as removed.
     pub fn update(&mut self, now: Time, endpoints: Vec<Endpoint>, is_complete: bool) -> Vec<ServerIndex> {
         if is_complete {
             for server in &mut self.servers {
@@ -83,7 +83,7 @@
         restarted
     }
 
-    /// Applies one entry of the endpoint list; returns the server if it has started a new process.
+    /// Applies one entry of the endpoint list. Returns the server if it has started a new process.
     fn update_endpoint(&mut self, now: Time, endpoint: Endpoint) -> Option<ServerIndex> {
         let Some(index) = self.find(endpoint.server) else {
             self.add(ServerState::new(endpoint, now));
@@ -123,7 +123,8 @@
         self.view = FleetView::of(balancer_count, self.peak_serving);
     }
 
-    /// The servers that were removed at least [`REMOVED_RETENTION`] ago and have no own attempt in flight.
+    /// Returns the servers that were removed at least [`REMOVED_RETENTION`] ago and have no own attempt in
+    /// flight.
     pub fn expired_servers(&self, now: Time) -> Vec<ServerIndex> {
         let is_expired = |server: &ServerState| {
             server.removed_at.is_some_and(|at| now.since(at) >= REMOVED_RETENTION) && server.in_flight == 0
@@ -139,24 +140,24 @@
         self.free_positions.push(index);
     }
 
-    /// The numbers of positions, known servers and free positions.
+    /// Returns the numbers of positions, known servers and free positions.
     #[cfg(test)]
     pub fn sizes(&self) -> [usize; 3] {
         [self.servers.len(), self.index_by_id.len(), self.free_positions.len()]
     }
 
-    /// The states at all positions, including those of forgotten servers.
+    /// Returns the states at all positions, including those of forgotten servers.
     #[cfg(test)]
     pub fn all_states(&self) -> impl Iterator<Item = &ServerState> {
         self.servers.iter()
     }
 
-    /// The zones of the known servers.
+    /// Returns the zones of the known servers.
     pub fn zones(&self) -> BTreeSet<ZoneId> {
         self.index_by_id.values().map(|&index| self[index].endpoint.zone).collect()
     }
 
-    /// The machine kinds of the known servers.
+    /// Returns the machine kinds of the known servers.
     pub fn machine_kinds(&self) -> BTreeSet<MachineKindId> {
         self.index_by_id.values().map(|&index| self[index].endpoint.machine_kind).collect()
     }
--- a/crates/balancer-core/src/policy/latency.rs
+++ b/crates/balancer-core/src/policy/latency.rs
@@ -11,7 +11,7 @@
 const MIN_RELATIVE_SLOWNESS: f64 = 0.05;
 /// Highest relative slowness of a sample, so that a few samples cannot make a server's value extreme.
 const MAX_RELATIVE_SLOWNESS: f64 = 8.0;
-/// Lower bound of a class's typical latency ratio where it is a divisor.
+/// Lower bound of a class's typical latency ratio, because other values are divided by it.
 const MIN_TYPICAL_RATIO: f64 = 0.001;
 /// Lower bound of a class's typical latency in milliseconds, because other values are divided by it.
 const MIN_TYPICAL_LATENCY_MS: f64 = 0.001;
@@ -30,8 +30,8 @@
     ratio: f64,
     /// Number of samples recorded.
     samples: u32,
-    /// Smoothed quotient of the latency ratio and the typical one of the class. The average falls faster than
-    /// it rises, so that it shows how slow the machine is without congestion.
+    /// Smoothed ratio of the latency of an attempt to the typical latency of its class. The average falls
+    /// faster than it rises, so that it shows how slow the machine is without congestion.
     relative_slowness: f64,
 }
 
@@ -47,21 +47,23 @@
         ServerLatency { ratio: ratio.value(), samples: 1, relative_slowness: 1.0 }
     }
 
-    /// The smoothed latency ratio; 0 without samples.
+    /// Returns the smoothed latency ratio; 0 without samples.
     pub fn ratio(&self) -> LatencyRatio {
         LatencyRatio::new(self.ratio)
     }
 
-    /// The number of samples recorded since the server started, or since its earlier samples were discarded.
+    /// Returns the number of samples recorded since the server started, or since its earlier samples were
+    /// discarded.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// How slow the server's machine is: 1 is typical, and 2 means twice the typical latency.
+    /// Returns how slow the server's machine is: 1 is typical, and 2 means twice the typical latency.
     pub fn relative_slowness(&self) -> f64 {
         self.relative_slowness
     }
 
+    /// Records the latency ratio of an attempt.
     fn record(&mut self, ratio: f64) {
         if self.samples == 0 {
             self.ratio = ratio;
@@ -112,37 +114,39 @@
         }
     }
 
-    /// The typical latency ratio of a class, which congestion hardly raises.
+    /// Returns the typical latency ratio of a class, which congestion hardly raises.
     pub fn typical_ratio(&self, class: ClassId) -> LatencyRatio {
         LatencyRatio::new(self.classes[class.0].typical_ratio)
     }
 
-    /// The recent latency ratio of a class, congestion included.
+    /// Returns the average latency ratio of a class's recent successful attempts, congestion included.
     pub fn current_ratio(&self, class: ClassId) -> LatencyRatio {
         LatencyRatio::new(self.classes[class.0].current_ratio)
     }
 
-    /// The median latency ratio of the serving servers.
+    /// Returns the median latency ratio of the serving servers.
     pub fn median_ratio(&self) -> LatencyRatio {
         LatencyRatio::new(self.median_ratio)
     }
 
-    /// The typical latency of a class, in milliseconds.
+    /// Returns the typical latency of a class, in milliseconds.
     pub fn typical_latency_ms(&self, settings: &Settings, class: ClassId) -> f64 {
         let objective_ms = settings.class(class).latency_objective.as_millis_f64();
         (self.typical_ratio(class).value() * objective_ms).max(MIN_TYPICAL_LATENCY_MS)
     }
 
-    /// Estimates the work for a request: its cost hint, or the typical latency of its class without one.
+    /// Estimates the work for a request by its cost hint or, without a hint, by the typical latency of its
+    /// class.
     pub fn estimated_work(&self, settings: &Settings, request: &Request) -> Work {
         let typical_latency_ms = || self.typical_latency_ms(settings, request.class);
         let work_ms = request.cost_hint.map_or_else(typical_latency_ms, Span::as_millis_f64);
         Work::from_millis_f64(work_ms)
     }
 
-    /// The expected latency ratio of a server: the weighted mean of the average of its machine kind and the
-    /// server's own average, whose weight grows with the number of its samples. For an unknown machine kind
-    /// the median of the fleet is used.
+    /// Returns the expected latency ratio of a server: the weighted mean of the average of its machine kind
+    /// and the server's own average, whose weight grows with the number of its samples.
+    ///
+    /// For an unknown machine kind the median of the fleet is used.
     pub fn expected_ratio(&self, machine_kind: MachineKindId, server: &ServerLatency) -> LatencyRatio {
         let kind_ratio = self.machine_kinds.get(&machine_kind).map_or(self.median_ratio, |kind| kind.ratio);
         let server_weight = f64::from(server.samples).min(MAX_SERVER_WEIGHT);
@@ -151,8 +155,8 @@
         LatencyRatio::new(ratio.max(MIN_RATIO))
     }
 
-    /// Records the latency ratio of a successful attempt for its class and for the relative slowness of its
-    /// server.
+    /// Updates the latency of a class and the relative slowness of a server with the latency ratio of a
+    /// successful attempt.
     pub fn record_success(&mut self, class: ClassId, ratio: LatencyRatio, server: &mut ServerLatency) {
         let ratio = ratio.value();
         let class = &mut self.classes[class.0];
@@ -163,8 +167,8 @@
         update_recent_average(&mut class.current_ratio, ratio);
     }
 
-    /// Records the latency ratio of an attempt that shows load, successful or not, for its server and for the
-    /// machine kind of the server.
+    /// Updates the latency of a server and of its machine kind with the latency ratio of an attempt,
+    /// successful or not. Attempts that show nothing about the load of the server must not be recorded.
     pub fn record_sample(&mut self, kind: MachineKindId, ratio: LatencyRatio, server: &mut ServerLatency) {
         let ratio = ratio.value();
         let initial = MachineKindLatency { ratio: self.median_ratio, samples: 1.0 };
@@ -174,20 +178,21 @@
         server.record(ratio);
     }
 
-    /// Recomputes the median from the servers that have samples; keeps the old median if no server has any.
+    /// Recomputes the median from the servers that have samples. Keeps the old median if no server has
+    /// samples.
     pub fn refresh_median<'a>(&mut self, servers: impl Iterator<Item = &'a ServerLatency>) {
         let sampled = servers.filter(|server| server.samples > 0);
         let median = median(sampled.map(|server| server.ratio));
         self.median_ratio = median.unwrap_or(self.median_ratio).max(MIN_RATIO);
     }
 
-    /// The number of known machine kinds.
+    /// Returns the number of known machine kinds.
     #[cfg(test)]
     pub fn machine_kind_count(&self) -> usize {
         self.machine_kinds.len()
     }
 
-    /// Removes the latencies of all machine kinds but the `known` ones.
+    /// Removes the latencies of all machine kinds except the `known` ones.
     pub fn retain_machine_kinds(&mut self, known: &BTreeSet<MachineKindId>) {
         self.machine_kinds.retain(|kind, _| known.contains(kind));
     }
--- a/crates/balancer-core/src/policy/routing/context.rs
+++ b/crates/balancer-core/src/policy/routing/context.rs
@@ -21,7 +21,7 @@
     pub latency: &'a FleetLatency,
     /// The current admission probability, which also scales the concurrency limits.
     pub admission: Probability,
-    /// How servers that are warming up compare with warm servers.
+    /// The recent work and the latencies of warm servers and of servers that are warming up.
     pub slow_start: &'a SlowStart,
     /// Which servers and zones are suspected.
     pub suspicion: &'a SuspicionTracker,
@@ -32,12 +32,12 @@
 }
 
 impl RoutingContext<'_> {
-    /// How much of each server's load this balancer can see.
+    /// Returns how much of each server's load this balancer can see.
     pub fn view(&self) -> FleetView {
         self.fleet.view()
     }
 
-    /// The share of its full capacity that a server is known to have now.
+    /// Returns the share of its full capacity that a server is known to have at the current time.
     pub fn capacity_share(&self, server: &ServerState) -> CapacityShare {
         capacity_share(self.settings, &server.endpoint, self.now)
     }
--- a/crates/balancer-core/src/policy/routing/memory/tests.rs
+++ b/crates/balancer-core/src/policy/routing/memory/tests.rs
@@ -4,7 +4,7 @@
 use crate::policy::fleet::ServerRegistry;
 use crate::{Endpoint, ServerId, Time};
 
-/// Indices of three servers.
+/// Returns the indices of three servers.
 fn three_servers() -> [ServerIndex; 3] {
     let mut registry = ServerRegistry::new();
     let ids = [0, 1, 2].map(ServerId);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn server_chosen_longest_ago_is_displaced() {
+fn least_recently_chosen_server_is_forgotten() {
     let [first, second, third] = three_servers();
     let mut memory = ServerMemory::default();
 
--- a/crates/balancer-core/src/policy/shedding/shedder.rs
+++ b/crates/balancer-core/src/policy/shedding/shedder.rs
@@ -1,4 +1,4 @@
-//! Decides which requests are shed first, by their class and by their tenant's share.
+//! The order in which requests are shed, by their class and by their tenant's share.
 
 use super::class_order::{rank_classes, ShedOrder};
 use super::traffic::Traffic;
@@ -12,6 +12,7 @@
 
 /// The recent traffic, and the order in which classes are shed.
 pub struct LoadShedder {
+    /// The recent traffic.
     traffic: Traffic,
     /// The shed order of each class, by class id.
     class_shed_order: Vec<ShedOrder>,
@@ -31,11 +32,11 @@
         self.traffic.count(now, request);
     }
 
-    /// Decides whether a request exceeds its tenant's share.
+    /// Decides, partly at random, whether a request is over its tenant's share.
     ///
-    /// If a tenant's fraction of this balancer's traffic exceeds its share and the slack, a random fraction
-    /// of its requests, as large as the excess, is shed first. The balancer uses its own traffic as a sample,
-    /// because no balancer sees all traffic.
+    /// If a tenant's fraction of this balancer's traffic exceeds `SHARE_SLACK_FACTOR` times its share, a
+    /// random fraction of the tenant's requests, as large as the excess, is over the share. The balancer uses
+    /// its own traffic as a sample, because no balancer sees all traffic.
     pub fn is_over_share(&self, settings: &Settings, request: &Request, rng: &mut fastrand::Rng) -> bool {
         let Some(tenant) = request.tenant else { return false };
         let Some(tenant_settings) = settings.tenants.get(tenant.0) else { return false };
@@ -47,13 +48,13 @@
         rng.f64() * self.traffic.requests_of_tenant(tenant) > allowed_requests.max(1.0)
     }
 
-    /// The shed order of a class.
+    /// Returns the shed order of a class.
     pub fn class_shed_order(&self, class: ClassId) -> ShedOrder {
         self.class_shed_order[class.0]
     }
 
-    /// The shed order of a request: a request over its tenant's share is shed first, any other one in the
-    /// order of its class.
+    /// Returns the shed order of a request: a request over its tenant's share is shed first, and any other
+    /// request has the shed order of its class.
     pub fn shed_order(&self, active: &ActiveRequest) -> ShedOrder {
         if active.is_over_share {
             ShedOrder::First
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The fraction of the traffic that belongs to classes that are shed first; NaN if no request has
+    /// Returns the fraction of the traffic that belongs to classes that are shed first; NaN if no request has
     /// been counted.
     pub fn shed_first_fraction(&self) -> f64 {
         let by_class = self.traffic.requests_by_class();
