--- a/crates/balancer-core/src/policy/deadline.rs
+++ b/crates/balancer-core/src/policy/deadline.rs
@@ -1,4 +1,5 @@
-//! Deadlines: until when a response has its full value, and what the time left still allows for a request.
+//! Deadlines: how much of its latency objective a new request has left, and whether a request can still get
+//! a response in time.
 
 mod objective;
 mod timeliness;
--- a/crates/balancer-core/src/policy/deadline/objective.rs
+++ b/crates/balancer-core/src/policy/deadline/objective.rs
@@ -1,17 +1,20 @@
-//! The time that a new request has left of its class's latency objective.
+//! How much of the latency objective of its class a new request has left.
 
 use super::typical_timeout::TypicalTimeout;
 use crate::{ClassId, Settings, Span};
 
-/// The typical timeouts of the request classes. A request with a different timeout is taken to be a client's
-/// own retry, which has already used some of its latency objective.
+/// The typical timeouts of the request classes, which show how much of its latency objective a new request
+/// has left.
+///
+/// A request with a different timeout is taken to be a client's own retry, which has already used some of
+/// the latency objective.
 pub struct ObjectiveTracker {
     /// The typical timeout of each class, by class id.
     typical_timeouts: Vec<TypicalTimeout>,
 }
 
 impl ObjectiveTracker {
-    /// Creates the state before any request has arrived, for this number of classes.
+    /// Creates the state before any request has arrived, for `class_count` classes.
     pub fn new(class_count: usize) -> Self {
         ObjectiveTracker { typical_timeouts: vec![TypicalTimeout::default(); class_count] }
     }
--- a/crates/balancer-core/src/policy/deadline/typical_timeout.rs
+++ b/crates/balancer-core/src/policy/deadline/typical_timeout.rs
@@ -1,25 +1,28 @@
-//! Detection of first attempts by the timeouts that clients set.
+//! Detection of clients' first attempts by the timeouts that the clients set.
 
 use crate::Span;
 
-/// Maximum number of votes for a typical timeout. When clients change their timeouts, the new one is accepted
-/// after at most as many requests.
+/// Maximum number of votes for a typical timeout. When clients change their timeout, the new one is accepted
+/// after at most this many requests.
 const MAX_VOTES: u32 = 50;
 
 /// The timeout of most requests of a class, found by a majority vote over the requests so far.
 ///
-/// All first attempts of a class have the same timeout. Any other timeout is what the earlier attempts of a
-/// client have left of the class's timeout.
+/// All first attempts of the clients have the same timeout. Any other timeout belongs to a client's retry:
+/// it is what the earlier attempts have left of the first timeout.
 #[derive(Clone, Copy, Default)]
 pub struct TypicalTimeout {
+    /// The timeout that currently leads the vote.
     timeout: Span,
     /// How many more requests voted for the timeout than against it, up to [`MAX_VOTES`].
     votes: u32,
 }
 
 impl TypicalTimeout {
-    /// Counts the vote of a new request, and returns whether the request is a first attempt: whether its
-    /// timeout differs from the typical one by no more than `tolerance`.
+    /// Counts the vote of a new request, and returns whether the request is a client's first attempt.
+    ///
+    /// The request is a first attempt if its timeout differs from the typical one by no more than
+    /// `tolerance`.
     pub fn detect_first_attempt(&mut self, time_left: Span, tolerance: Span) -> bool {
         if self.votes == 0 {
             *self = TypicalTimeout { timeout: time_left, votes: 1 };
--- a/crates/balancer-core/src/policy/feedback.rs
+++ b/crates/balancer-core/src/policy/feedback.rs
@@ -11,9 +11,10 @@
 
 /// Returns the latency ratio that an ended attempt counts as. All late responses count the same.
 ///
-/// An attempt without a response whose server responded quickly to other requests shows no load, because only
-/// its connection was lost (docs/findings/lost-answers.md). Any other attempt that timed out or was
-/// cancelled counts as late: a cancelled one may still be queued at the server.
+/// An attempt without a response whose server responded quickly to other requests shows nothing about the
+/// load, because only its connection was lost (docs/findings/lost-answers.md). Any other attempt that timed
+/// out or was cancelled counts as late: a cancelled one may still be queued at the server. A rejected
+/// attempt counts as late too. An error or a broken connection shows nothing about the load.
 pub fn observed_ratio(
     settings: &Settings,
     server: &ServerState,
@@ -34,8 +35,8 @@
     }
 }
 
-/// Whether an attempt without a response has lost its connection: the server has responded to other attempts
-/// since this one was sent, and its smoothed latency is below the target.
+/// Returns whether an attempt without a response has probably lost its connection: the server has responded
+/// to other attempts since this one was sent, and its smoothed latency is below the target.
 fn is_connection_lost(server: &ServerState, attempt: &InFlightAttempt) -> bool {
     server.health.has_responded_after(attempt.sent_at) && server.latency.ratio() < TARGET_RATIO
 }
--- a/crates/balancer-core/src/policy/outlier.rs
+++ b/crates/balancer-core/src/policy/outlier.rs
@@ -1,5 +1,8 @@
 //! Outlier detection: servers that fail, or are slow relative to the fleet, are ejected and then probed with
 //! single requests until they recover.
+//!
+//! Servers are ejected only in a dense view. In a sparse view, they are suspected instead; see
+//! [`super::suspicion`].
 
 mod detection;
 mod ejection;
--- a/crates/balancer-core/src/policy/outlier/detection.rs
+++ b/crates/balancer-core/src/policy/outlier/detection.rs
@@ -7,18 +7,18 @@
 use crate::units::LatencyRatio;
 use crate::{EjectionReason, Outcome, Time};
 
-/// A server is slow if its latency exceeds the median of the fleet by this factor. Below the factor no
-/// ejection is needed: the balancer's own counts of attempts in flight shift the load to other servers.
+/// Multiple of the fleet's median latency ratio above which a server is slow. A server below it needs no
+/// ejection, because routing by the attempts in flight already shifts load to other servers.
 const OUTLIER_FACTOR: f64 = 3.0;
-/// Lower bound of the fleet's median latency ratio when a probe is compared with it.
+/// Lower bound of the fleet's median latency ratio where the latency ratio of a probe is compared with it.
 const MIN_MEDIAN_RATIO: f64 = 0.1;
 /// Latency samples needed before a server can be ejected as slow, so that one costly request does not eject
 /// it.
 const MIN_SAMPLES: u32 = 4;
 /// Consecutive failures after which a server is ejected in a dense view.
 const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
-/// Largest fraction of the serving servers that may be ejected. If more of them are outliers, the
-/// servers themselves are not the cause.
+/// Largest fraction of the serving servers that may be ejected. If more servers than that are outliers, the
+/// cause is not in the servers themselves.
 const MAX_EJECTED_FRACTION: f64 = 0.75;
 
 /// The outcome and the latency ratio of an attempt that has ended.
@@ -26,7 +26,7 @@
 pub struct AttemptResult {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The latency ratio of the attempt; zero if the attempt shows no load.
+    /// The latency ratio of the attempt; zero if the attempt shows nothing about the load of its server.
     pub ratio: LatencyRatio,
 }
 
@@ -43,14 +43,17 @@
     is_failing(server, last, view).then_some(EjectionReason::Failing)
 }
 
-/// Whether a server with enough samples is slow relative to both the fleet and the target latency ratio.
+/// Returns whether the smoothed latency ratio of a server is too high relative to the fleet's median and
+/// also above the target. A server with few samples is never slow.
 fn is_slow(latency: &ServerLatency, median: LatencyRatio) -> bool {
     let max_ratio = OUTLIER_FACTOR * median.value();
     latency.samples() >= MIN_SAMPLES && latency.ratio().value() > max_ratio && latency.ratio() > TARGET_RATIO
 }
 
-/// Whether a server has failed often enough to be ejected. In a sparse view a single failure or late response
-/// is enough, because the balancer's next request to the server may be minutes away.
+/// Returns whether a server has failed often enough to be ejected or suspected.
+///
+/// In a sparse view, a single failure or late attempt is enough, because the balancer's next request to the
+/// server may be minutes away.
 fn is_failing(server: &ServerState, last: AttemptResult, view: FleetView) -> bool {
     let failures = server.health.consecutive_failures();
     match view {
@@ -62,14 +65,14 @@
     }
 }
 
-/// Whether a single response is slow, and also slow relative to the fleet. This happens where a noisy
-/// neighbour takes CPU cores from the server (docs/findings/fleet-shares.md).
+/// Returns whether a single attempt is slow, both in absolute terms and relative to the fleet. A noisy
+/// neighbour that takes CPU cores from the server causes such latencies (docs/findings/fleet-shares.md).
 pub fn is_relatively_slow(ratio: LatencyRatio, median: LatencyRatio) -> bool {
     ratio >= SLOW_RATIO && ratio.value() > OUTLIER_FACTOR * median.value()
 }
 
 /// Ejects a server. Returns `false`, and changes nothing, if the server is already ejected or if too many
-/// others are.
+/// other servers are.
 pub fn eject(fleet: &mut ServerRegistry, index: ServerIndex, now: Time) -> bool {
     let serving = fleet.serving().len() as f64;
     let ejected = fleet.serving_states().filter(|server| server.health.is_ejected()).count();
@@ -81,8 +84,10 @@
     true
 }
 
-/// Evaluates the result of a probe. A success that is not slow relative to the fleet ends the ejection; any
-/// other result delays the next probe.
+/// Evaluates the result of a probe.
+///
+/// A success that is not slow relative to the fleet ends the ejection, and the latency of the probe replaces
+/// the server's earlier samples. Any other result delays the next probe.
 pub fn evaluate_probe(server: &mut ServerState, probe: AttemptResult, median: LatencyRatio, now: Time) {
     let max_ratio = OUTLIER_FACTOR * median.value().max(MIN_MEDIAN_RATIO);
     if probe.outcome == Outcome::Success && probe.ratio.value() < max_ratio {
--- a/crates/balancer-core/src/policy/outlier/ejection.rs
+++ b/crates/balancer-core/src/policy/outlier/ejection.rs
@@ -8,13 +8,16 @@
 const MAX_PROBE_INTERVAL: Span = Span::from_secs(4);
 /// Factor by which the interval grows with each failed probe.
 const PROBE_BACKOFF_FACTOR: f64 = 2.0;
-/// Additional intervals after which a request that is not idempotent may probe the server too.
+/// Number of additional intervals after which a request that is not idempotent may probe the server too.
 const NON_IDEMPOTENT_EXTRA_INTERVALS: f64 = 2.0;
 
 /// The probe schedule of an ejected server.
 pub struct Ejection {
+    /// The time from which an idempotent request may probe the server.
     next_probe_at: Time,
+    /// The current interval between two probes.
     interval: Span,
+    /// Whether a probe is in flight. There is at most one at a time.
     has_probe_in_flight: bool,
 }
 
@@ -28,9 +31,10 @@
         }
     }
 
-    /// Whether a request may probe the server now. Idempotent requests are preferred as probes. Other
-    /// requests may probe the server later, because a service without idempotent requests must also return
-    /// its ejected servers to use.
+    /// Returns whether a request may probe the server now.
+    ///
+    /// Idempotent requests are preferred as probes. Other requests must wait longer, but may probe the
+    /// server too: in a service without idempotent requests, ejected servers would otherwise never recover.
     pub fn is_probe_due(&self, now: Time, is_idempotent: bool) -> bool {
         let extra_delay =
             if is_idempotent { Span::ZERO } else { self.interval * NON_IDEMPOTENT_EXTRA_INTERVALS };
--- a/crates/balancer-core/src/policy/outlier/health.rs
+++ b/crates/balancer-core/src/policy/outlier/health.rs
@@ -5,9 +5,10 @@
 
 /// The consecutive failures, the last response and the ejection of one server.
 pub struct ServerHealth {
-    /// Failures since the last success.
+    /// Failures since the last success or the end of the last ejection.
     consecutive_failures: u32,
-    /// When the server last sent a response of any kind, or reset a connection.
+    /// When the server last sent a response of any kind, or reset a connection. Before the first response,
+    /// the time at which this record was created.
     last_response_at: Time,
     /// The probe schedule while the server is ejected.
     ejection: Option<Ejection>,
@@ -19,14 +20,16 @@
         ServerHealth { consecutive_failures: 0, last_response_at: now, ejection: None }
     }
 
-    /// Returns the health of a server that has just started a new process. The time of the last response is
-    /// kept, because attempts to the previous process may still be in flight and are evaluated by it.
+    /// Returns the health of a server that has just started a new process.
+    ///
+    /// The time of the last response is kept, because attempts to the previous process may still be in
+    /// flight. Whether the server has responded since such an attempt was sent is decided by that time.
     pub fn restarted(&self) -> Self {
         ServerHealth::new(self.last_response_at)
     }
 
-    /// Records the outcome of an attempt. A rejection is not a failure: the server only receives fewer
-    /// requests.
+    /// Records the outcome of an attempt. A rejection does not count as a failure, because the concurrency
+    /// limit already reduces the number of requests to a server that rejects them.
     pub fn record(&mut self, now: Time, outcome: Outcome) {
         match outcome {
             Outcome::Success => {
@@ -48,27 +51,28 @@
         self.consecutive_failures
     }
 
-    /// Whether the server has responded in any way after `time`.
+    /// Returns whether the server has responded in any way after `time`.
     pub fn has_responded_after(&self, time: Time) -> bool {
         self.last_response_at > time
     }
 
-    /// Whether the server's last response came before `time`.
+    /// Returns whether the last response of the server came before `time`.
     pub fn is_silent_since(&self, time: Time) -> bool {
         self.last_response_at < time
     }
 
-    /// Whether the server is ejected.
+    /// Returns whether the server is ejected.
     pub fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// Whether a request may be sent now: the server is not ejected, or the request may probe it.
+    /// Returns whether a request may be sent now: the server is not ejected, or the request may probe it.
     pub fn allows_request(&self, now: Time, is_idempotent: bool) -> bool {
         self.ejection.as_ref().is_none_or(|ejection| ejection.is_probe_due(now, is_idempotent))
     }
 
-    /// Records that a request is sent. Returns `true` if the request is a probe of an ejected server.
+    /// Records that a request is sent to the server. Returns `true` if the request is a probe of an ejected
+    /// server.
     pub fn record_send(&mut self) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
         ejection.start_probe();
@@ -80,7 +84,7 @@
         self.ejection = Some(Ejection::new(now));
     }
 
-    /// Ends the ejection and resets the failure count.
+    /// Ends the server's ejection and resets its failure count.
     pub(super) fn recover(&mut self) {
         self.ejection = None;
         self.consecutive_failures = 0;
--- a/crates/balancer-core/src/policy/overdue.rs
+++ b/crates/balancer-core/src/policy/overdue.rs
@@ -1,4 +1,4 @@
-//! Detection of attempts that are overdue or slow, and of their servers that are silent.
+//! Detection of overdue and slow attempts in flight, and of silent servers.
 
 use super::admission::SLOW_RATIO;
 use super::concurrency::TARGET_RATIO;
@@ -10,10 +10,10 @@
 
 /// Multiple of its expected latency after which an attempt is overdue.
 const OVERDUE_FACTOR: f64 = 4.0;
-/// Fraction of its latency objective before which an attempt is never overdue.
+/// Fraction of the latency objective during which an attempt is never overdue.
 const MIN_OVERDUE_FRACTION: f64 = 0.6;
 /// Fraction that replaces [`MIN_OVERDUE_FRACTION`] for an attempt that is alone on its server. Such an
-/// attempt may well be a costly request.
+/// attempt may well be for a costly request.
 const MIN_OVERDUE_FRACTION_ALONE: f64 = 1.0;
 
 /// An attempt that should have got a response by now.
@@ -26,7 +26,7 @@
     pub is_server_silent: bool,
 }
 
-/// A search for overdue attempts, with the state that it reads.
+/// A search for overdue attempts: the state that the search depends on.
 pub struct OverdueSearch<'a> {
     /// The current time.
     pub now: Time,
@@ -42,8 +42,10 @@
 
 impl OverdueSearch<'_> {
     /// Returns the overdue attempts whose server is silent, or responds quickly to other requests
-    /// (docs/findings/lost-answers.md). Overdue attempts on a server that is slow for all requests are left
-    /// out, because they may still be queued there.
+    /// (docs/findings/lost-answers.md).
+    ///
+    /// Overdue attempts on a server that is slow for all requests are left out, because they may still be
+    /// queued there.
     pub fn find(&self, in_flight: &AttemptsInFlight) -> Vec<OverdueAttempt> {
         in_flight.iter().filter_map(|(key, attempt)| self.check(key, attempt)).collect()
     }
@@ -57,8 +59,11 @@
         (is_overdue && (is_server_silent || is_server_quick)).then_some(found)
     }
 
-    /// Returns how long the attempt may take before it is overdue. The expected latency is the highest of the
-    /// typical latency of the class, the median latency of the fleet, and the estimated work of the request.
+    /// Returns how long the attempt may take before it is overdue: a multiple of its expected latency, but
+    /// at least a fraction of its latency objective.
+    ///
+    /// The expected latency is the highest of the typical latency of the class, the median latency of the
+    /// fleet, and the estimated work of the request.
     fn max_time(&self, key: AttemptKey, attempt: &InFlightAttempt) -> Span {
         let objective = self.settings.class(attempt.class).latency_objective;
         let is_alone = self.fleet[attempt.server].in_flight <= 1;
@@ -78,8 +83,9 @@
     }
 }
 
-/// Marks the attempts in flight that have become slow since the last call, and returns their number. An
-/// attempt in flight is known to be slow before its response arrives. If admission control waited for the
+/// Marks the attempts in flight that have become slow since the last call, and returns their number.
+///
+/// An attempt in flight is known to be slow before its response arrives. If admission control waited for the
 /// response, an overload would grow meanwhile.
 pub fn mark_slow_attempts(in_flight: &mut AttemptsInFlight, settings: &Settings, now: Time) -> usize {
     let mut newly_slow = 0;
--- a/crates/balancer-core/src/policy/requests/active_request.rs
+++ b/crates/balancer-core/src/policy/requests/active_request.rs
@@ -25,7 +25,7 @@
     pub cell: CellId,
     /// When the attempt was sent.
     pub sent_at: Time,
-    /// Whether the attempt ran, as far as is known.
+    /// What is known about whether the attempt ran.
     pub state: AttemptState,
 }
 
@@ -35,11 +35,11 @@
     pub request: Request,
     /// When the client stops waiting for the response.
     pub deadline: Time,
-    /// When the latency objective ends: a later response has less value, or none.
+    /// When the latency objective ends. A later response has less value, or none.
     pub objective_deadline: Time,
     /// All attempts so far, in flight and ended, by attempt number.
     pub attempts: Vec<Attempt>,
-    /// Whether a response has begun to stream, so that no other attempt can serve the request.
+    /// Whether a response has begun to stream. No other attempt can serve the request from then on.
     pub is_bound_to_stream: bool,
     /// Whether the request exceeded its tenant's share when it arrived.
     pub is_over_share: bool,
@@ -51,7 +51,7 @@
         self.request.class
     }
 
-    /// Whether any attempt of the request is in flight.
+    /// Returns whether any attempt of the request is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
--- a/crates/balancer-core/src/policy/requests/attempts_in_flight.rs
+++ b/crates/balancer-core/src/policy/requests/attempts_in_flight.rs
@@ -1,10 +1,10 @@
-//! The attempts that have not ended.
+//! Attempts that have not ended, and the results of those that have.
 
 use crate::policy::fleet::ServerIndex;
 use crate::{AttemptNumber, ClassId, LoadReport, Outcome, RequestId, Span, Time};
 use std::collections::BTreeMap;
 
-/// Identifies an attempt.
+/// The identity of an attempt: its request and its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The request that the attempt belongs to.
@@ -27,7 +27,7 @@
     pub is_counted_slow: bool,
 }
 
-/// How an attempt ended.
+/// The result of an attempt that has ended.
 pub struct EndedAttempt {
     /// The key of the attempt.
     pub key: AttemptKey,
@@ -37,7 +37,7 @@
     pub elapsed: Span,
     /// The load report of the server, if it sent one.
     pub load_report: Option<LoadReport>,
-    /// Whether the request has had its final response.
+    /// Whether the request has already had its final response.
     pub is_request_finished: bool,
 }
 
--- a/crates/balancer-core/src/policy/retry.rs
+++ b/crates/balancer-core/src/policy/retry.rs
@@ -1,5 +1,5 @@
-//! Retries: where the rules permit another attempt, which retries the budget allows, and which attempts are
-//! cancelled so that their requests can be retried.
+//! Retries: which servers another attempt may be sent to, how many retries the budget allows, and which
+//! attempts are cancelled so that their requests can be retried.
 
 mod budget;
 mod decision;
--- a/crates/balancer-core/src/policy/retry/budget.rs
+++ b/crates/balancer-core/src/policy/retry/budget.rs
@@ -1,19 +1,19 @@
-//! The budget for retries of requests that may have run.
+//! The budget for retries of attempts that may have run.
 
 use crate::policy::fleet::FleetView;
 use crate::policy::token_bucket::TokenBucket;
 
 /// Cost of one retry, in tokens.
 const RETRY_COST: f64 = 1.0;
-/// Tokens that each request adds to the budget.
+/// Tokens that each client request adds to the budget.
 const TOKENS_PER_REQUEST: f64 = 0.1;
-/// Maximum balance in a dense view, in tokens. The balance allows a burst of retries.
+/// Maximum balance in a dense view, in tokens. The balance bounds a burst of retries.
 const MAX_TOKENS: f64 = 10.0;
-/// Maximum balance in a sparse view, in tokens. With a higher maximum, many balancers would all spend more
-/// retries during the same overload.
+/// Maximum balance in a sparse view, in tokens. With a higher maximum, the many balancers together would
+/// send too many retries during an overload.
 const MAX_TOKENS_SPARSE: f64 = 1.0;
 
-/// A token bucket that requests refill and that retries spend.
+/// A token bucket that client requests refill and that retries spend.
 pub struct RetryBudget {
     bucket: TokenBucket,
     max_balance: f64,
@@ -34,12 +34,12 @@
         };
     }
 
-    /// Adds the tokens for one request.
+    /// Adds the tokens for one client request.
     pub fn refill(&mut self) {
         self.bucket.refill(TOKENS_PER_REQUEST, self.max_balance);
     }
 
-    /// Whether the balance allows a retry.
+    /// Returns whether the balance allows a retry.
     pub fn allows_retry(&self) -> bool {
         self.bucket.balance() >= RETRY_COST
     }
--- a/crates/balancer-core/src/policy/retry/decision.rs
+++ b/crates/balancer-core/src/policy/retry/decision.rs
@@ -6,9 +6,11 @@
 use crate::policy::requests::{ActiveRequest, AttemptKey};
 use crate::{Effect, Outcome};
 
-/// Whether a request is retried after an attempt that ended with `outcome` and without a final response. A
-/// retry must be permitted by the rules, must be able to get a response in time, and must be allowed by the
-/// budget. A retry of an attempt that certainly did not run spends nothing of the budget.
+/// Returns whether a request is retried after its last attempt ended with `outcome` and without a final
+/// response.
+///
+/// The rules must permit the retry, the budget must allow it, and it must be able to get a response in time.
+/// A retry needs no budget if `outcome` proves that the attempt did not run.
 pub fn may_retry(
     active: &ActiveRequest,
     outcome: Outcome,
@@ -21,9 +23,11 @@
     is_permitted && is_within_budget && !timeliness.is_too_late(active)
 }
 
-/// Whether an overdue attempt is cancelled so that its request is retried on another server. The attempt must
-/// be the last one of the request. The retry must be permitted, must be allowed by the budget, and must be
-/// able to get a response in time.
+/// Returns whether an overdue attempt is cancelled so that its request can be retried.
+///
+/// The attempt must be the last one that was sent for the request, and the settings must allow cancelling
+/// it. The rules must permit a retry although the attempt may have run. The budget must allow the retry, and
+/// the retry must be able to get a response in time.
 pub fn may_cancel_and_retry(
     active: &ActiveRequest,
     attempt: AttemptKey,
--- a/crates/balancer-core/src/policy/retry/permission.rs
+++ b/crates/balancer-core/src/policy/retry/permission.rs
@@ -23,13 +23,15 @@
     pub scope: RetryScope,
     /// The time by which the last byte of a retry must be written, if there is a limit.
     pub write_by: Option<Time>,
-    /// Whether the request may be rejected. A rejection promises the client that a retry is harmless.
+    /// Whether the request may be rejected. A rejection promises the client that retrying the request is
+    /// harmless.
     pub may_reject: bool,
 }
 
 impl AttemptPermission {
-    /// Returns what the rules permit for the request now. All of the rule "no duplicated effect" (WIRE page,
-    /// section 2, rule 2) is implemented here.
+    /// Returns what the rules permit for the request now.
+    ///
+    /// This function implements the whole rule "no duplicated effect" (WIRE page, section 2, rule 2).
     pub fn of(settings: &Settings, active: &ActiveRequest, now: Time) -> Self {
         let by_effect = Self::by_effect(settings, active, now);
         let scope =
@@ -41,8 +43,8 @@
         }
     }
 
-    /// Returns what the effect of the request's class permits, considering only the attempts so far that may
-    /// have run.
+    /// Returns what the effect of the request's class permits. Everything is permitted as long as none of
+    /// the attempts so far may have run.
     fn by_effect(settings: &Settings, active: &ActiveRequest, now: Time) -> Self {
         let first_run = active.attempts.iter().find(|attempt| attempt.state != AttemptState::DidNotRun);
         let unrestricted =
@@ -65,15 +67,17 @@
     }
 }
 
-/// Returns the servers that still recognise a retry as a duplicate of `first_run`, the first attempt that may
-/// have run, if the retry is written no later than at `written_at`.
+/// Returns the servers that recognise a retry as a duplicate of `first_run`, which is the first attempt that
+/// may have run.
+///
+/// No server does so after `write_by`. `latest_write_at` is the latest time at which the retry is written.
 fn deduplicated_scope(
     scope: DedupScope,
     first_run: &Attempt,
     write_by: Time,
-    written_at: Time,
+    latest_write_at: Time,
 ) -> RetryScope {
-    if written_at > write_by {
+    if latest_write_at > write_by {
         return RetryScope::Nowhere;
     }
     match scope {
@@ -83,7 +87,7 @@
     }
 }
 
-/// Whether another attempt is forbidden, whatever the effect of the request's class.
+/// Returns whether another attempt is forbidden, regardless of the effect of the request's class.
 fn is_attempt_forbidden(settings: &Settings, active: &ActiveRequest, now: Time) -> bool {
     let has_used_all_attempts = active.attempts.len() >= settings.max_attempts as usize;
     let is_forbidden_hedge = active.has_attempt_in_flight() && !settings.allows_hedging;
--- a/crates/balancer-core/src/policy/suspicion.rs
+++ b/crates/balancer-core/src/policy/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion of servers, which takes the place of ejection in a sparse view.
+//! Suspicion of servers, which replaces ejection in a sparse view.
 //!
 //! In a sparse view, a balancer sends a request to a given server only once in many seconds. It cannot probe
 //! ejected servers, because the probes of all balancers together would be a considerable load. Instead, a
--- a/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
+++ b/crates/balancer-core/src/policy/suspicion/server_suspicion.rs
@@ -2,10 +2,10 @@
 
 use crate::{Outcome, Span, Time};
 
-/// Factor on the tie-break weight of a suspected server, and so the fraction of its normal traffic that the
-/// server still receives.
+/// Factor on the tie-break weight of a suspected server. The server still receives about this fraction of
+/// its normal traffic.
 pub const SUSPECTED_WEIGHT_FACTOR: f64 = 0.05;
-/// Duration of a suspicion that is based on this balancer's own attempts.
+/// Duration of a suspicion that is based on this balancer's own attempts and health checks.
 const OWN_SUSPICION_DURATION: Span = Span::from_secs(8);
 /// Duration of a suspicion that is based on gossip.
 const GOSSIP_SUSPICION_DURATION: Span = Span::from_secs(5);
@@ -21,19 +21,19 @@
         ServerSuspicion { suspected_until: now }
     }
 
-    /// Whether the server is suspected at `now`.
+    /// Returns whether the server is suspected at `now`.
     pub fn is_active(&self, now: Time) -> bool {
         now < self.suspected_until
     }
 
-    /// Records the outcome of an attempt. A success that is not late ends the suspicion.
+    /// Records the outcome of an attempt. A success ends the suspicion unless it was late.
     pub fn record(&mut self, now: Time, outcome: Outcome, is_late: bool) {
         if outcome == Outcome::Success && !is_late {
             self.suspected_until = now;
         }
     }
 
-    /// Suspects the server because of this balancer's own attempts.
+    /// Suspects the server because of this balancer's own attempts or health checks.
     pub(super) fn start(&mut self, now: Time) {
         self.suspected_until = now + OWN_SUSPICION_DURATION;
     }
--- a/crates/balancer-core/src/policy/suspicion/tracker.rs
+++ b/crates/balancer-core/src/policy/suspicion/tracker.rs
@@ -1,4 +1,4 @@
-//! Suspicion of single servers and of whole zones, and gossip about suspected servers.
+//! The suspicion of single servers and of whole zones, and gossip about suspected servers.
 
 use super::gossip::{decode, encode, GossipBudget};
 use super::zone_links::ZoneLinks;
@@ -14,8 +14,8 @@
     pub payload: Vec<u8>,
 }
 
-/// The links to the zones, and the budget for gossip about suspected servers. The suspicion of a single
-/// server is part of its [`ServerState`].
+/// The state of the links to the zones, and the budget for gossip about suspected servers. The suspicion of
+/// a single server is part of its [`ServerState`].
 pub struct SuspicionTracker {
     zone_links: ZoneLinks,
     gossip_budget: GossipBudget,
@@ -27,17 +27,18 @@
         SuspicionTracker { zone_links: ZoneLinks::default(), gossip_budget: GossipBudget::new() }
     }
 
-    /// Adds the bytes for one request to the gossip budget.
+    /// Adds the bytes for one client request to the gossip budget.
     pub fn refill_gossip_budget(&mut self) {
         self.gossip_budget.refill();
     }
 
-    /// Whether the server is suspected, either by itself or because the link to its zone is down.
+    /// Returns whether a server is suspected, either individually or because the link to its zone is down.
     pub fn is_suspected(&self, now: Time, server: &ServerState) -> bool {
         self.zone_links.is_down(now, server.endpoint.zone) || server.suspicion.is_active(now)
     }
 
-    /// Records the outcome of an attempt to a server in this zone.
+    /// Records the outcome of an attempt for the link to the zone of its server. Only successes and failed
+    /// connects count.
     pub fn record_outcome(&mut self, now: Time, zone: ZoneId, outcome: Outcome) {
         match outcome {
             Outcome::Success => self.zone_links.record_success(zone),
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Suspects a server, and returns the messages that notify some peers of the suspicion.
+    /// Suspects a server, and returns the messages that notify some peers of the suspicion. Returns no
+    /// messages if gossip is not allowed.
     pub fn suspect(
         &mut self,
         server: &mut ServerState,
@@ -68,15 +70,17 @@
         self.zone_links.retain(known_zones);
     }
 
-    /// Returns the number of zones with a failed connect since the last success.
+    /// Returns the number of zones whose link has a failed connect since its last success.
     #[cfg(test)]
     pub fn failed_link_count(&self) -> usize {
         self.zone_links.len()
     }
 }
 
-/// Suspects the server that a gossip message names, and returns it. A message that names no known server is
-/// ignored. Gossip has no other effect, so messages that are old, lost or false do no harm.
+/// Suspects the server that a gossip message names, and returns its index. Returns `None`, and changes
+/// nothing, if the message names no known server.
+///
+/// Gossip has no other effect, so messages that are old, lost or false do little harm.
 pub fn receive_gossip(payload: &[u8], now: Time, fleet: &mut ServerRegistry) -> Option<ServerIndex> {
     let index = fleet.find(decode(payload)?)?;
     fleet[index].suspicion.extend_by_gossip(now);
--- a/crates/balancer-core/src/policy/suspicion/tracker/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/tracker/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the suspicion of all servers in a zone.
+//! Tests of when the servers of a whole zone are suspected.
 
 use super::*;
 use crate::{Endpoint, ServerId, Span};
--- a/crates/balancer-core/src/policy/suspicion/zone_links.rs
+++ b/crates/balancer-core/src/policy/suspicion/zone_links.rs
@@ -9,21 +9,25 @@
 /// How long a link stays marked down.
 const DOWN_DURATION: Span = Span::from_secs(5);
 
+/// The state of the link to one zone.
 #[derive(Default)]
 struct ZoneLink {
     /// Failed connects since the last success.
     consecutive_failures: u32,
+    /// Until when the link is marked down; the epoch if it has not been marked down.
     down_until: Time,
 }
 
-/// The links with a failed connect since their last success.
+/// The state of the links to all zones.
 #[derive(Default)]
 pub struct ZoneLinks {
+    /// The links that have a failed connect since their last success.
     links: BTreeMap<ZoneId, ZoneLink>,
 }
 
 impl ZoneLinks {
-    /// Records a failed connect to any server of a zone.
+    /// Records a failed connect to any server of a zone. Marks the link to the zone down after several
+    /// failed connects in a row.
     pub fn record_connect_failure(&mut self, zone: ZoneId, now: Time) {
         if self.count_failure(zone) >= CONSECUTIVE_FAILURES_TO_MARK_DOWN {
             self.mark_down(zone, now + DOWN_DURATION);
@@ -35,7 +39,7 @@
         self.links.remove(&zone);
     }
 
-    /// Whether the link to a zone is marked down.
+    /// Returns whether the link to a zone is marked down.
     pub fn is_down(&self, now: Time, zone: ZoneId) -> bool {
         self.links.get(&zone).is_some_and(|link| now < link.down_until)
     }
@@ -52,11 +56,12 @@
         link.consecutive_failures
     }
 
+    /// Marks the link to a zone down until the given time.
     fn mark_down(&mut self, zone: ZoneId, until: Time) {
         self.links.entry(zone).or_default().down_until = until;
     }
 
-    /// Returns the number of links with a failed connect since their last success.
+    /// Returns the number of links that have a failed connect since their last success.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.links.len()
