--- a/crates/balancer-core/src/balancer.rs
+++ b/crates/balancer-core/src/balancer.rs
@@ -1,5 +1,7 @@
 //! The [`Balancer`]: dispatches events to the components of [`crate::policy`] and turns their decisions into
-//! actions. All decision rules are in those components; this module only determines the order of the steps.
+//! actions.
+//!
+//! All decision rules are in those components. This module only determines the order of the steps.
 
 mod endpoints;
 mod feedback;
@@ -25,7 +27,7 @@
 use crate::{Action, DiscoveryMode, Event, RequestId, Settings, SettingsError, Time, TimerId};
 use std::collections::BTreeMap;
 
-/// Decides where, when and how often the requests of one client process are sent.
+/// A balancer, which decides where, when and how often requests are sent.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
@@ -85,7 +87,7 @@
         })
     }
 
-    /// Starts the balancer and appends its first actions to `out`. The caller calls this once, before the
+    /// Starts the balancer and appends its first actions to `out`. The host calls this once, before the
     /// first event.
     pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         self.now = now;
@@ -120,8 +122,10 @@
         out.append(&mut self.actions);
     }
 
-    /// Does the periodic work, in this order: reopens a broken watch if its backoff is over, refreshes the
-    /// estimates for the whole fleet, handles overdue attempts, and sends queued requests.
+    /// Does the periodic work if the next tick is due.
+    ///
+    /// The order of the steps is: reopen a broken watch if its backoff is over, refresh the estimates for
+    /// the whole fleet, handle overdue attempts, and send queued requests.
     fn tick(&mut self) {
         if !self.ticks.is_due(self.now) {
             return;
@@ -143,14 +147,14 @@
         self.actions.push(Action::SetTimer { at, timer: TimerId::Tick });
     }
 
-    /// Sets a timer for an earlier tick, unless the next tick is due soon already.
+    /// Sets a timer for an earlier tick, unless the next tick is already due soon.
     fn schedule_tick_soon(&mut self) {
         if let Some(at) = self.ticks.schedule_soon(self.now) {
             self.actions.push(Action::SetTimer { at, timer: TimerId::Tick });
         }
     }
 
-    /// Returns the [`Timeliness`] that decides at the current time whether requests can be served in time.
+    /// Returns the state that determines whether requests can still get a response in time.
     fn timeliness(&self) -> Timeliness<'_> {
         Timeliness { now: self.now, settings: &self.settings, latency: &self.latency }
     }
--- a/crates/balancer-core/src/balancer/endpoints.rs
+++ b/crates/balancer-core/src/balancer/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the endpoint list and refreshes everything that depends on the set of servers.
+//! Changes of the endpoint list, and updates of everything that depends on the set of servers.
 
 use super::Balancer;
 use crate::policy::fleet::ServerIndex;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl Balancer {
-    /// Handles a change of the endpoint list or the failure of its watch.
+    /// Handles a change of the endpoint list, or the failure of the watch.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         match update {
             EndpointUpdate::Failed => {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Applies changed entries, or the complete list if `is_complete`.
+    /// Applies changed entries of the endpoint list, or the complete list if `is_complete`.
     fn apply_endpoints(&mut self, endpoints: Vec<Endpoint>, is_complete: bool) {
         self.watch_retry.reset_backoff();
         for restarted in self.fleet.update(self.now, endpoints, is_complete) {
@@ -58,8 +58,8 @@
         polled.chain(attempts.map(|attempt| attempt.server)).collect()
     }
 
-    /// Recomputes the capacity of the serving fleet, in units of one warm server, and passes it to slow start
-    /// and admission control.
+    /// Recomputes the capacity of the serving servers, in units of one warm server, and passes it to slow
+    /// start and admission control.
     pub(super) fn refresh_capacity(&mut self) {
         let share_of = |endpoint| capacity_share(&self.settings, endpoint, self.now);
         let serving = self.fleet.serving_states();
@@ -68,8 +68,8 @@
         self.admission.update_capacity(shares.iter().map(|share| share.value()).sum());
     }
 
-    /// Recomputes whether the view of the fleet is dense or sparse, and notifies the components whose
-    /// behaviour depends on the view.
+    /// Recomputes whether the view of the fleet is dense or sparse, and notifies the components whose state
+    /// depends on the view.
     fn refresh_view(&mut self) {
         self.fleet.refresh_view(self.settings.balancer_count);
         let view = self.fleet.view();
--- a/crates/balancer-core/src/balancer/feedback.rs
+++ b/crates/balancer-core/src/balancer/feedback.rs
@@ -1,4 +1,4 @@
-//! Updates the estimates of all components when an attempt ends.
+//! The updates of the estimates of all components when an attempt ends.
 
 use super::Balancer;
 use crate::policy::concurrency::{min_limit, LatencySample, LATE_RATIO};
@@ -11,9 +11,10 @@
 use crate::Outcome;
 
 impl Balancer {
-    /// Records the outcome and latency of an ended attempt in all components that use them. If the attempt
-    /// was a probe, decides whether the ejection of its server ends; otherwise, ejects the server if it is an
-    /// outlier.
+    /// Records the outcome and latency of an ended attempt in all components that use them.
+    ///
+    /// If the attempt was a probe, decides whether the ejection of its server ends. Otherwise, ejects or
+    /// suspects the server if it is an outlier.
     pub(super) fn record_attempt_end(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt) {
         let ratio = observed_ratio(&self.settings, &self.fleet[attempt.server], attempt, ended);
         let shows_load = ratio > NO_LOAD;
@@ -35,7 +36,7 @@
     }
 
     /// Records an outcome for the health and suspicion of its server and for the network link to its zone.
-    /// Records the latency ratio too if the attempt was served.
+    /// Also records the latency ratio if the attempt was a success.
     fn record_outcome(&mut self, attempt: &InFlightAttempt, outcome: Outcome, ratio: LatencyRatio) {
         let server = &mut self.fleet[attempt.server];
         server.health.record(self.now, outcome);
@@ -66,9 +67,10 @@
         }
     }
 
-    /// Removes a server from the router's memory if it is slow and the view is sparse. In a sparse view, the
-    /// balancer's own counts of requests in flight do not reveal that a noisy neighbour slows the server
-    /// down, so the router would continue to remember it.
+    /// Removes a server from the router's memory if it is slow and the view is sparse.
+    ///
+    /// In a sparse view, the balancer's own attempts in flight do not reveal that a noisy neighbour slows
+    /// the server down, so the router would continue to remember it.
     fn forget_if_slow(&mut self, attempt: &InFlightAttempt, ratio: LatencyRatio) {
         let is_slow = is_relatively_slow(ratio, self.latency.median_ratio());
         if self.fleet.view() == FleetView::Sparse && is_slow {
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Ejects the server of an ended attempt if it is an outlier. In a sparse view, suspects it instead.
+    /// Ejects the server of an ended attempt if it is an outlier. In a sparse view, the server is suspected
+    /// instead.
     fn eject_if_outlier(&mut self, attempt: &InFlightAttempt, result: AttemptResult) {
         let server = &self.fleet[attempt.server];
         let reason = find_outlier(server, result, self.latency.median_ratio(), self.fleet.view());
--- a/crates/balancer-core/src/balancer/health.rs
+++ b/crates/balancer-core/src/balancer/health.rs
@@ -1,4 +1,4 @@
-//! Ejects or suspects unhealthy servers, and cancels overdue attempts.
+//! The ejection or suspicion of unhealthy servers, and the cancellation of overdue attempts.
 
 use super::Balancer;
 use crate::policy::concurrency::LATE_RATIO;
@@ -11,7 +11,8 @@
 use crate::{Action, EjectionReason, LoadReport, Notice, Outcome, ServerId};
 
 impl Balancer {
-    /// Handles the end of a health check: records its load report, or ejects the server if the check failed.
+    /// Handles the end of a health check: records the load report if there is one, and otherwise ejects or
+    /// suspects the server if the check failed.
     pub(super) fn end_health_check(
         &mut self,
         server: ServerId,
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Ejects a server and notifies the operators. Does nothing if the server is ejected already, or if too
-    /// many others are.
+    /// Ejects a server and notifies the operators. Does nothing if the server is already ejected, or if too
+    /// many other servers are.
     fn eject_and_notify(&mut self, index: ServerIndex, reason: EjectionReason) {
         if !outlier::eject(&mut self.fleet, index, self.now) {
             return;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Handles gossip: suspects the server that the message names and removes it from the router's memory.
+    /// Handles gossip: suspects the server that the message names, and removes it from the router's memory.
     pub(super) fn receive_gossip(&mut self, payload: &[u8]) {
         if receive_gossip(payload, self.now, &mut self.fleet).is_none() {
             return;
@@ -72,8 +73,10 @@
         self.router.retain(|server| !fleet[server].suspicion.is_active(self.now));
     }
 
-    /// Ejects servers that have been silent since an overdue attempt was sent. Cancels the overdue attempts
-    /// whose request can still be retried in time.
+    /// Ejects or suspects the servers that have been silent since an overdue attempt was sent, and cancels
+    /// the overdue attempts whose requests can still be retried in time.
+    ///
+    /// In a sparse view, also counts slow attempts in flight for admission control.
     pub(super) fn handle_overdue_attempts(&mut self) {
         let search = OverdueSearch {
             now: self.now,
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Counts attempts in flight that have just become slow as late responses for admission control.
+    /// Counts each attempt in flight that has just become slow as a late attempt for admission control.
     fn count_slow_attempts(&mut self) {
         let newly_slow = mark_slow_attempts(&mut self.in_flight, &self.settings, self.now);
         for _ in 0..newly_slow {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Cancels an overdue attempt if its request may be retried on another server.
+    /// Cancels an overdue attempt if its request can be retried.
     fn cancel_if_retriable(&mut self, key: AttemptKey) {
         let Some(active) = self.requests.get(&key.request) else { return };
         if may_cancel_and_retry(active, key, &self.retry_budget, &self.timeliness()) {
--- a/crates/balancer-core/src/balancer/polling.rs
+++ b/crates/balancer-core/src/balancer/polling.rs
@@ -1,4 +1,5 @@
-//! Records load reports, and polls candidate servers for their load before one of them is chosen.
+//! The recording of load reports, and polls of candidate servers for their load before one of them is
+//! selected.
 
 use super::Balancer;
 use crate::policy::fleet::ServerIndex;
@@ -25,15 +26,15 @@
         self.actions.push(Action::SetTimer { at: poll.deadline(), timer: TimerId::LoadPollTimeout });
     }
 
-    /// Sends the requests whose candidates have all reported or whose poll has timed out.
+    /// Sends the requests whose polled candidates have all reported, and those whose poll has timed out.
     pub(super) fn finish_polls(&mut self) {
         for poll in self.load_polling.take_finished(self.now, &self.fleet) {
             self.finish_poll(&poll);
         }
     }
 
-    /// Sends a request to the least loaded of the candidates that have reported, or of all candidates if none
-    /// has. Queues the request if none of them is eligible any more.
+    /// Sends a request to the least loaded of the polled candidates that have reported, or of all polled
+    /// candidates if none has. Queues the request if none of these candidates is eligible any more.
     fn finish_poll(&mut self, poll: &LoadPoll) {
         let mut candidates = poll.usable_candidates(&self.fleet);
         let selector = self.server_selector();
--- a/crates/balancer-core/src/balancer/requests.rs
+++ b/crates/balancer-core/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a request: arrival, sending or queueing, retries, and the one final response.
+//! The life cycle of a request: its arrival, sending or queueing, retries, and its one final response.
 
 use super::Balancer;
 use crate::policy::deadline::retry_after;
@@ -8,8 +8,10 @@
 use crate::{Action, AttemptNumber, Outcome, Request, RequestId};
 
 impl Balancer {
-    /// Sends or queues a new request, or finishes it if it would be too late or is shed. A request of an
-    /// unknown class is rejected. A request with the id of an active request is ignored.
+    /// Sends or queues a new request, or finishes it unserved if a response would come too late or if the
+    /// request is shed.
+    ///
+    /// A request of an unknown class is rejected. A request with the id of an active request is ignored.
     pub(super) fn handle_request(&mut self, request: Request) {
         let id = request.id;
         if !self.settings.has_class(request.class) {
@@ -32,7 +34,7 @@
         self.send_or_enqueue(id);
     }
 
-    /// Counts a request that has just arrived as traffic and creates its record.
+    /// Creates the record of a request that has just arrived, and counts the request as traffic.
     fn create_active_request(&mut self, request: Request) -> ActiveRequest {
         let deadline = self.now + request.time_left;
         let objective_left = self.objectives.objective_left(&self.settings, request.class, request.time_left);
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Handles the end of an attempt: records it, and retries or finishes its request if that has no final
-    /// response yet.
+    /// Handles the end of an attempt: records it, and retries or finishes the request if the request has no
+    /// final response yet.
     pub(super) fn end_attempt(&mut self, ended: &EndedAttempt) {
         let Some(attempt) = self.in_flight.remove(ended.key) else { return };
         self.fleet[attempt.server].in_flight -= 1;
@@ -78,8 +80,8 @@
         self.drain_queue();
     }
 
-    /// Retries a request whose attempt has failed, or finishes it unserved if no retry is possible. Does
-    /// nothing while another attempt of the request is in flight.
+    /// Retries a request after its attempt has ended without a final response, or finishes the request
+    /// unserved if no retry is possible. Does nothing while another attempt of the request is in flight.
     fn retry_or_finish(&mut self, id: RequestId, outcome: Outcome) {
         let active = &self.requests[&id];
         if active.has_attempt_in_flight() {
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Sends the queued requests for which a server is eligible, and finishes those that can no longer be
-    /// served in time.
+    /// Sends the queued requests for which a server is eligible, and finishes the requests that have waited
+    /// too long unserved.
     pub(super) fn drain_queue(&mut self) {
         if self.queue.is_empty() {
             return;
@@ -124,8 +126,8 @@
         self.queue.restore(queued);
     }
 
-    /// Sends a queued request, or finishes it unserved if it has waited too long. Returns true if the request
-    /// must stay in the queue.
+    /// Sends a queued request, or finishes it unserved if it has waited too long. Returns `true` if the
+    /// request must stay in the queue.
     fn process_queued(&mut self, id: RequestId) -> bool {
         let Some(active) = self.requests.get(&id) else { return false };
         if self.timeliness().has_waited_too_long(active) {
@@ -135,8 +137,9 @@
         !self.dispatch(id)
     }
 
-    /// Gives a request its final response without serving it: rejects the request if a retry by the client
-    /// cannot duplicate its effect, and fails it otherwise.
+    /// Gives a request its final response without serving it.
+    ///
+    /// Rejects the request if a retry by the client cannot duplicate its effect, and fails it otherwise.
     fn finish_unserved(&mut self, id: RequestId) {
         let Some(active) = self.requests.remove(&id) else { return };
         if AttemptPermission::of(&self.settings, &active, self.now).may_reject {
--- a/crates/balancer-core/src/balancer/sending.rs
+++ b/crates/balancer-core/src/balancer/sending.rs
@@ -1,4 +1,4 @@
-//! Selects a server for a request and sends the request to it.
+//! The selection of a server for a request, and the sending of the request.
 
 use super::Balancer;
 use crate::policy::fleet::ServerIndex;
@@ -8,7 +8,7 @@
 use crate::{Action, AttemptNumber, RequestId};
 use std::collections::BTreeMap;
 
-/// Selects servers: the [`Router`] together with everything that its decisions depend on.
+/// The [`Router`], together with everything that its decisions depend on.
 pub(super) struct ServerSelector<'a> {
     context: RoutingContext<'a>,
     router: &'a Router,
@@ -24,7 +24,7 @@
         Some(self.router.routing_request(&self.context, active))
     }
 
-    /// Returns whether this request may be sent to the server now.
+    /// Returns whether a request may be sent to a server now.
     pub(super) fn is_eligible(&self, server: ServerIndex, request: &RoutingRequest) -> bool {
         self.context.is_eligible(server, request)
     }
@@ -41,7 +41,7 @@
 }
 
 impl Balancer {
-    /// Returns a selector that works on the current state of the balancer.
+    /// Creates a selector that works on the current state of the balancer.
     pub(super) fn server_selector(&mut self) -> ServerSelector<'_> {
         let context = RoutingContext {
             now: self.now,
@@ -58,7 +58,7 @@
     }
 
     /// Sends a request to the least loaded candidate, or polls the candidates first if polling is enabled.
-    /// Returns false if no server is eligible.
+    /// Returns `false` if no server is eligible.
     pub(super) fn dispatch(&mut self, id: RequestId) -> bool {
         let mut selector = self.server_selector();
         let Some(request) = selector.routing_request(id) else { return true };
@@ -70,8 +70,9 @@
         self.send_to_least_loaded(&request, &candidates)
     }
 
-    /// Sends a request to the least loaded candidate, and adds that server to the router's memory. Returns
-    /// false if there are no candidates.
+    /// Sends a request to the least loaded candidate, and adds that server to the router's memory. Closes
+    /// the idle connections to servers that drop out of the memory. Returns `false` if there are no
+    /// candidates.
     pub(super) fn send_to_least_loaded(
         &mut self,
         request: &RoutingRequest,
@@ -117,7 +118,7 @@
         });
     }
 
-    /// Records for slow start that a server is sent the work of this request.
+    /// Records the work of a request that is sent to a server, for slow start.
     fn record_work(&mut self, request: &RoutingRequest, index: ServerIndex) {
         let server = &mut self.fleet[index];
         let share = capacity_share(&self.settings, &server.endpoint, self.now);
--- a/crates/balancer-core/src/endpoint.rs
+++ b/crates/balancer-core/src/endpoint.rs
@@ -1,14 +1,14 @@
-//! Entries and changes of the endpoint list.
+//! The entries of the endpoint list, and changes of the list.
 
 use crate::ids::{CellId, MachineKindId, ServerId, ZoneId};
 use crate::time::Time;
 
-/// Whether a server accepts requests, as the endpoint list states it.
+/// Whether a server accepts requests, according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum EndpointStatus {
     /// The server accepts requests.
     Serving,
-    /// The server completes the requests that it has and must not be sent new ones.
+    /// The server completes the requests that it already has and must not be sent new ones.
     Draining,
     /// The server is no longer in the endpoint list.
     Removed,
@@ -27,14 +27,17 @@
     pub cell: CellId,
     /// Whether the server accepts requests.
     pub status: EndpointStatus,
-    /// A weight whose meaning depends on the setting [`EndpointWeights`](crate::EndpointWeights).
+    /// The weight of the server. The setting
+    /// [`Settings::endpoint_weights`](crate::Settings::endpoint_weights) determines its meaning.
     pub weight: f64,
-    /// When the server's process last started, if that was recently.
+    /// When the server's process last started, if that was recently. `None` means that the server has warmed
+    /// up.
     pub started_at: Option<Time>,
 }
 
 impl Endpoint {
-    /// Creates the entry of a serving server that has warmed up, in zone, machine kind and cell 0.
+    /// Creates the entry of a serving server that has warmed up, with weight 1 and in zone 0, machine kind 0
+    /// and cell 0.
     pub fn serving(server: ServerId) -> Self {
         Endpoint {
             server,
@@ -58,9 +61,9 @@
 pub enum EndpointUpdate {
     /// The entries that have changed.
     Changes(Vec<Endpoint>),
-    /// The complete list. A server that is missing from it has been removed.
+    /// The complete list. A server that is missing from the list has been removed.
     Complete(Vec<Endpoint>),
-    /// The complete list as it was cached before a restart. The list may be stale.
+    /// The complete list, as the host cached it before a restart. The list may be stale.
     Cached(Vec<Endpoint>),
     /// A poll failed or the watch broke. The balancer keeps the list that it has.
     Failed,
--- a/crates/balancer-core/src/event.rs
+++ b/crates/balancer-core/src/event.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of a balancer: [`Event`]s, and the [`Action`]s that its caller carries out.
+//! The inputs and outputs of a balancer: [`Event`]s, and the [`Action`]s that its host carries out.
 
 use crate::endpoint::EndpointUpdate;
 use crate::ids::{AttemptNumber, ClassId, PeerId, RequestId, RoutingKey, ServerId, TenantId, TimerId};
@@ -12,9 +12,10 @@
     pub id: RequestId,
     /// The class of the request.
     pub class: ClassId,
-    /// The tenant that sent the request.
+    /// The tenant that sent the request, if there is one.
     pub tenant: Option<TenantId>,
-    /// The object that the request concerns, if a server that knows the object can serve it with less work.
+    /// The key of the object that the request concerns, if a server that has recently served the same object
+    /// needs less work for the request.
     pub routing_key: Option<RoutingKey>,
     /// The client's estimate of the request's work, as the time that one core needs for it.
     pub cost_hint: Option<Span>,
@@ -26,7 +27,7 @@
 }
 
 impl Request {
-    /// Creates a request that is not a client's retry, without tenant, routing key and cost hint.
+    /// Creates a request that is not a client's retry, without a tenant, routing key or cost hint.
     pub fn new(id: RequestId, class: ClassId, time_left: Span) -> Self {
         Request {
             id,
@@ -47,7 +48,7 @@
     Success,
     /// The server responded with an error. The request may have run.
     ServerError,
-    /// The server rejected the request. It did not run.
+    /// The server rejected the request. The request did not run.
     Rejected,
     /// No response came in time. The request may have run or may still be running.
     TimedOut,
@@ -68,7 +69,7 @@
     }
 }
 
-/// A load report: values that describe the load of the server that sent them.
+/// Values that describe the load of a server, sent by that server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadReport {
     values: Vec<f64>,
@@ -94,7 +95,7 @@
 pub enum Event {
     /// A request has arrived.
     Request(Request),
-    /// The response to a streaming request has begun. The request is bound to this attempt.
+    /// The response to a streaming request has begun. From now on, the request is bound to this attempt.
     FirstByte {
         /// The request.
         request: RequestId,
@@ -116,7 +117,7 @@
         /// Whether the client has received its final response; if not, the balancer must still provide one.
         is_request_finished: bool,
     },
-    /// The client has disconnected, so the request needs no final response any more.
+    /// The client has disconnected, so the request no longer needs a final response.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -145,7 +146,7 @@
     },
 }
 
-/// An output of the balancer, to be carried out by its caller.
+/// An output of the balancer, to be carried out by its host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt. Attempts of a request are numbered in the order in which they are sent.
@@ -156,8 +157,8 @@
         server: ServerId,
         /// The moment at which the attempt times out.
         timeout_at: Time,
-        /// The deadline for writing the last byte of the attempt, if there is one. After it, servers would no
-        /// longer recognise the attempt as a retry and might run the request a second time.
+        /// The deadline for writing the last byte of the attempt, if there is one. After this time, servers
+        /// would no longer recognise the attempt as a retry and might run the request a second time.
         write_by: Option<Time>,
     },
     /// Cancel an attempt.
@@ -167,23 +168,24 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Reject the request as its final response. A retry by the client cannot duplicate the effect.
+    /// Reject the request. The rejection is the final response to the request, and a retry by the client
+    /// cannot duplicate the effect of the request.
     Reject {
         /// The request.
         request: RequestId,
         /// The delay after which the client should retry; `None` if there is no advice for the client.
         retry_after: Option<Span>,
     },
-    /// Fail the request as its final response. The request may have run.
+    /// Fail the request. The failure is the final response to the request, which may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Pass [`Event::TimerDue`] to the balancer at this time. Timers are never cancelled.
+    /// Pass [`Event::TimerDue`] to the balancer at the given time. Timers are never cancelled.
     SetTimer {
         /// The time at which the timer is due.
         at: Time,
-        /// The timer to pass in the event.
+        /// The timer that the event names.
         timer: TimerId,
     },
     /// Send a health check to a server.
@@ -203,7 +205,7 @@
         /// The contents of the message.
         payload: Vec<u8>,
     },
-    /// Open a watch of the endpoint list. It replaces a watch that is already open.
+    /// Open a watch of the endpoint list. The new watch replaces one that is already open.
     WatchEndpoints,
     /// Log a notice for the operators.
     Notify(Notice),
--- a/crates/balancer-core/src/ids.rs
+++ b/crates/balancer-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids of requests, servers and other things that events and actions refer to. The caller assigns all ids
+//! Ids of requests, servers and other things that events and actions refer to. The host assigns all ids
 //! except those of attempts and timers.
 
 /// Defines id types, which are newtypes of an integer.
@@ -13,8 +13,8 @@
 id_types! {
     /// The id of a request. An id is never used twice in the lifetime of a balancer.
     RequestId(u64),
-    /// The id of a server. All balancers use the same id, which stays the same for the lifetime of the
-    /// machine.
+    /// The id of a server. All balancers use the same id for a server, and the id stays the same for the
+    /// lifetime of the machine.
     ServerId(u32),
     /// The id of a request class: the index in [`Settings::classes`](crate::Settings::classes).
     ClassId(usize),
@@ -27,29 +27,31 @@
     /// The id of a cell in the endpoint list. The servers of a cell share a record of the requests that they
     /// have run.
     CellId(u32),
-    /// Identifies the object that a request concerns. Requests for the same object carry the same key.
+    /// The key of the object that a request concerns. Requests for the same object carry the same key.
     RoutingKey(u64),
-    /// The number of an attempt among those of its request: 0 for the first attempt, 1 for the second.
+    /// The number of an attempt among those of its request: 0 for the first attempt, 1 for the second, and
+    /// so on.
     AttemptNumber(u32),
     /// The id of another balancer of the same service.
     PeerId(u32),
 }
 
-/// Identifies a timer of the balancer, in [`Action::SetTimer`](crate::Action::SetTimer) and in
+/// A timer of the balancer, in [`Action::SetTimer`](crate::Action::SetTimer) and in
 /// [`Event::TimerDue`](crate::Event::TimerDue).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerId {
-    /// The periodic tick. It handles overdue attempts and queued requests, among other things.
+    /// The timer of the periodic tick, in which the balancer handles overdue attempts and queued requests,
+    /// among other things.
     Tick,
     /// The timeout of a load poll.
     LoadPollTimeout,
 }
 
 impl TimerId {
-    /// All timers, in the order of their numbers.
+    /// All timers.
     const ALL: [TimerId; 2] = [TimerId::Tick, TimerId::LoadPollTimeout];
 
-    /// Returns the number of the timer, for callers that identify timers by numbers.
+    /// Returns the number of the timer, for hosts that identify timers by numbers.
     pub fn number(self) -> u64 {
         match self {
             TimerId::Tick => 0,
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -1,11 +1,12 @@
 //! Client-side load-balancing decisions, without I/O.
 //!
-//! Each client process owns one [`Balancer`]. The process passes every [`Event`] and its [`Time`] to the
+//! A host is a program that embeds a [`Balancer`]. The host passes every [`Event`] and its [`Time`] to the
 //! balancer and carries out the [`Action`]s that the balancer returns. The balancer never reads a clock,
 //! opens a socket or starts a thread.
 //!
-//! For each request, the balancer compares a few servers that it chose before with servers that it draws
-//! uniformly at random, by the number of its own requests in flight, and selects the least loaded one.
+//! For each request, the balancer draws a few servers uniformly at random and adds a few that it selected
+//! before. From these candidates it selects the least loaded one, above all by the number of its own requests
+//! in flight.
 //!
 //! ```
 //! use balancer_core::*;
@@ -19,12 +20,12 @@
 //! let mut balancer = Balancer::new(settings, 7).expect("valid settings");
 //! let mut actions = Vec::new();
 //!
-//! // The caller passes on the endpoint list.
+//! // The host passes on the endpoint list.
 //! let now = Time::from_millis(1000);
 //! let endpoints = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
 //! balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(endpoints)), &mut actions);
 //!
-//! // For each request, the balancer decides which server it is sent to.
+//! // For each request, the balancer decides which server the request is sent to.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_millis(400));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: RequestId(1), .. })));
--- a/crates/balancer-core/src/notice.rs
+++ b/crates/balancer-core/src/notice.rs
@@ -1,4 +1,4 @@
-//! Notices: what a balancer reports to the operators. The caller turns them into text.
+//! Notices: what a balancer reports to the operators. The host turns them into text.
 
 use crate::ids::ServerId;
 use crate::units::LatencyRatio;
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[non_exhaustive]
 pub enum Notice {
-    /// A server was ejected. It is sent no requests except single probes, until one of them is served with an
+    /// A server was ejected. The balancer sends it only single probes, until a probe is served with an
     /// acceptable latency.
     ServerEjected {
         /// The ejected server.
@@ -22,7 +22,7 @@
     },
 }
 
-/// Why a server is ejected.
+/// Why a server was ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionReason {
     /// The latency of the server is a multiple of the fleet's median latency.
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a balancer. They do not change while the balancer runs.
+//! The settings of a balancer, which do not change while the balancer runs.
 
 mod goal;
 mod request_class;
@@ -22,15 +22,16 @@
     pub local_zone: ZoneId,
     /// The request classes, by [`ClassId`].
     pub classes: Vec<RequestClass>,
-    /// The tenants, by [`TenantId`](crate::TenantId). There may be none.
+    /// The tenants, by [`TenantId`](crate::TenantId). The list may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its value that a request keeps if its tenant exceeds the tenant's share.
+    /// The fraction of its value that a request keeps if its tenant exceeds the tenant's share of the
+    /// capacity.
     pub over_share_value: f64,
     /// Whether the value of requests is counted per request or by work.
     pub value_basis: ValueBasis,
     /// The weights of the components of the service's score.
     pub goal: GoalWeights,
-    /// What attempts, health checks and connections cost.
+    /// The costs of attempts, health checks, connections and wasted work.
     pub costs: Costs,
     /// How the balancer is notified of changes to the endpoint list.
     pub discovery_mode: DiscoveryMode,
@@ -42,7 +43,7 @@
     pub load_report_fields: Vec<LoadReportField>,
     /// The meaning of the weights in the endpoint list.
     pub endpoint_weights: EndpointWeights,
-    /// Whether a server that has recently served a routing key serves it again with less work.
+    /// Whether a server that has recently served a routing key serves the same key again with less work.
     pub has_key_affinity: bool,
     /// The maximum number of attempts for one request.
     pub max_attempts: u32,
@@ -56,22 +57,22 @@
     pub allows_gossip: bool,
     /// Whether the `retry_after` of [`Action::Reject`](crate::Action::Reject) is sent to clients.
     pub sends_retry_after: bool,
-    /// The longest `retry_after` that clients observe.
+    /// The longest `retry_after` that clients comply with.
     pub max_retry_after: Span,
-    /// How long after it was notified that a server is draining or removed the balancer may still send
-    /// attempts to the server.
+    /// How long the balancer may still send attempts to a server after it was notified that the server is
+    /// draining or removed. The balancer's decisions do not depend on this.
     pub drain_grace: Span,
-    /// The lowest fraction of its full capacity with which a server starts.
+    /// The lowest fraction of its full capacity that a server can have at its start.
     pub initial_capacity: f64,
     /// The longest time that a server needs to reach its full capacity after its start.
     pub warm_up_time: Span,
-    /// The load, as a multiple of its current capacity, above which a server that is warming up fails if the
-    /// load lasts for `overload_window`.
+    /// The load that makes a server fail while it is warming up, as a multiple of its current capacity. The
+    /// server fails if the load stays above this multiple for `overload_window`.
     pub overload_factor: f64,
-    /// How long a load above `overload_factor` must last to make a server that is warming up fail.
+    /// How long a load above `overload_factor` must last until a server that is warming up fails.
     pub overload_window: Span,
-    /// How long opening a connection may take. An attempt may be written to its connection this much later
-    /// than the balancer decided to send it.
+    /// How long opening a connection may take. An attempt may be written to its connection this long after
+    /// the balancer decided to send it.
     pub connect_timeout: Span,
     /// The shortest interval between two events, which is also the resolution of their times.
     pub event_interval: Span,
--- a/crates/balancer-core/src/settings/goal.rs
+++ b/crates/balancer-core/src/settings/goal.rs
@@ -1,4 +1,4 @@
-//! How the service weighs its results, and what its operations cost.
+//! The goal of the service: its tenants, the value of its requests, and the costs of its operations.
 
 /// A tenant and its share of the capacity.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -39,7 +39,8 @@
     }
 }
 
-/// The costs of operations: the fraction of the score that is lost if each request causes one of them.
+/// The costs of operations. Each cost is the fraction of the score that is lost if every request causes one
+/// such operation.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Costs {
     /// The cost of an attempt that leaves the balancer's zone.
--- a/crates/balancer-core/src/settings/request_class.rs
+++ b/crates/balancer-core/src/settings/request_class.rs
@@ -8,8 +8,8 @@
     /// Processing the request twice has the same effect as processing it once.
     #[default]
     Idempotent,
-    /// The request carries an idempotency key. Servers recognise a retry by the key and do not process it
-    /// again.
+    /// The request carries an idempotency key. Servers recognise a retry by its key and do not process the
+    /// request again.
     Deduplicated {
         /// The servers that share a record of idempotency keys.
         scope: DedupScope,
@@ -37,20 +37,20 @@
 pub struct RequestClass {
     /// The effect of processing a request of this class twice.
     pub effect: Effect,
-    /// The latency objective. A response within it has its full value.
+    /// The latency within which a response has its full value.
     pub latency_objective: Span,
     /// The multiple of the request's work by which the latency objective grows, up to the timeout. The
     /// balancer's decisions do not depend on this.
     pub objective_stretch: f64,
-    /// How long a client waits in total for a response, including all of its own retries.
+    /// How long a client waits for a response in total, including all of its own retries.
     pub timeout: Span,
     /// The value of a response within the latency objective.
     pub priority_weight: f64,
     /// The fraction of its value that a response keeps if it comes after the latency objective and before
     /// the deadline.
     pub late_value: f64,
-    /// Whether the response is a stream. Its start is announced by
-    /// [`Event::FirstByte`](crate::Event::FirstByte).
+    /// Whether the response is a stream. [`Event::FirstByte`](crate::Event::FirstByte) announces the start
+    /// of the stream.
     pub is_streaming: bool,
 }
 
--- a/crates/balancer-core/src/settings/sources.rs
+++ b/crates/balancer-core/src/settings/sources.rs
@@ -34,7 +34,7 @@
 /// Which responses carry load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum LoadReportSource {
-    /// No responses; servers send no load reports.
+    /// No responses: servers send no load reports.
     #[default]
     None,
     /// Responses to attempts and to health checks.
--- a/crates/balancer-core/src/settings/validation.rs
+++ b/crates/balancer-core/src/settings/validation.rs
@@ -35,8 +35,7 @@
     }
 }
 
-/// The reason why settings are invalid. The messages use the names that the operators' documentation gives to
-/// the settings.
+/// The reason why settings are invalid. The messages name the settings as the operators' documentation does.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
--- a/crates/balancer-core/src/time.rs
+++ b/crates/balancer-core/src/time.rs
@@ -5,7 +5,7 @@
 const MICROS_PER_MILLI: u64 = 1_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A moment on the caller's clock, in microseconds since an epoch of the caller's choice.
+/// A moment on the host's clock, in microseconds since an epoch that the host chooses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(u64);
 
@@ -14,7 +14,7 @@
 pub struct Span(u64);
 
 impl Time {
-    /// The epoch.
+    /// The moment from which all times are counted.
     pub const EPOCH: Time = Time(0);
 
     /// Returns the moment `micros` microseconds after the epoch.
@@ -94,6 +94,8 @@
 impl Add<Span> for Time {
     type Output = Time;
 
+    /// Returns the moment `span` after this one, or the latest moment that can be represented if that is
+    /// earlier.
     fn add(self, span: Span) -> Time {
         Time(self.0.saturating_add(span.0))
     }
@@ -102,6 +104,7 @@
 impl Sub<Span> for Time {
     type Output = Time;
 
+    /// Returns the moment `span` before this one, or the epoch if that is later.
     fn sub(self, span: Span) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
@@ -110,6 +113,8 @@
 impl Mul<f64> for Span {
     type Output = Span;
 
+    /// Returns the duration multiplied by `factor` and rounded to whole microseconds. A negative factor or
+    /// NaN gives zero.
     fn mul(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor).round() as u64)
     }
--- a/crates/balancer-core/src/units.rs
+++ b/crates/balancer-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Types for quantities that several modules use. Each type determines the unit of its quantity.
+//! Types for quantities that several modules use. Each type fixes the unit of its quantity.
 
 /// A latency divided by the latency objective of the request class. The ratio is 1 if the latency equals the
 /// objective.
@@ -6,7 +6,7 @@
 pub struct LatencyRatio(f64);
 
 impl LatencyRatio {
-    /// Creates a latency ratio from its number.
+    /// Creates a latency ratio from a number.
     pub const fn new(ratio: f64) -> Self {
         LatencyRatio(ratio)
     }
@@ -25,7 +25,7 @@
     /// The capacity share of a server that has warmed up.
     pub const FULL: CapacityShare = CapacityShare(1.0);
 
-    /// Creates a capacity share from its number, where 1 is the full capacity.
+    /// Creates a capacity share from a number, where 1 is the full capacity.
     pub const fn new(share: f64) -> Self {
         CapacityShare(share)
     }
--- a/crates/balancer-settings/src/decision_settings.rs
+++ b/crates/balancer-settings/src/decision_settings.rs
@@ -1,4 +1,4 @@
-//! Converts the JSON form of the settings into [`Settings`].
+//! The conversion of the JSON form of the settings into [`Settings`].
 
 use crate::wire::{
     WireClass, WireDedupScope, WireDiscovery, WireEffect, WireFeedbackSource, WireGoal, WirePenalties,
@@ -10,7 +10,12 @@
 };
 
 impl From<&WireSettings> for Settings {
-    /// Converts the settings object. Absent keys have the values of [`Settings::default`].
+    /// Converts the settings object.
+    ///
+    /// An absent key gets the value of [`Settings::default`] where the field of `wire` is an `Option`. Any
+    /// other absent key stands for zero, `false`, an empty list or the default of its enumeration. The
+    /// connect timeout is not converted: a host that opens connections sets it from
+    /// [`HostSettings`](crate::HostSettings).
     fn from(wire: &WireSettings) -> Settings {
         let default = Settings::default();
         let limits = &wire.limits;
@@ -48,6 +53,7 @@
     }
 }
 
+/// Returns the given number of milliseconds as a duration, or `default` if there is none.
 fn span_or(milliseconds: Option<f64>, default: Span) -> Span {
     milliseconds.map_or(default, Span::from_millis_f64)
 }
@@ -155,7 +161,8 @@
     match scope {
         Some(WireDedupScope::All) => DedupScope::Fleet,
         Some(WireDedupScope::Zone) => DedupScope::Zone,
-        // A missing scope means the narrowest one: a retry on any other server could duplicate the effect.
+        // A missing scope means the narrowest one. With a wider scope, a retry in another cell could duplicate
+        // the effect.
         Some(WireDedupScope::Cell) | None => DedupScope::Cell,
     }
 }
--- a/crates/balancer-settings/src/host_settings.rs
+++ b/crates/balancer-settings/src/host_settings.rs
@@ -1,11 +1,11 @@
-//! Converts the JSON form of the settings into [`HostSettings`].
+//! The settings for hosts, and their conversion from the JSON form.
 
 use crate::wire::WireSettings;
 use balancer_core::Span;
 
-/// The connect timeout if the settings do not contain one.
+/// The connect timeout if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// The keepalive time if the settings do not contain one.
+/// The keepalive time of connections if the settings contain none.
 const DEFAULT_KEEPALIVE_MS: f64 = 15_000.0;
 
 /// The settings that the host of a balancer needs in addition to [`Settings`](balancer_core::Settings): names
@@ -23,7 +23,7 @@
     /// The names of the fields of a load report, in the order of
     /// [`Settings::load_report_fields`](balancer_core::Settings::load_report_fields).
     pub load_report_fields: Vec<String>,
-    /// How long opening a connection may take before it has failed.
+    /// The time within which a connection must be established.
     pub connect_timeout: Span,
     /// How long a connection may be idle before the server closes it.
     pub keepalive: Span,
--- a/crates/balancer-settings/src/server_names.rs
+++ b/crates/balancer-settings/src/server_names.rs
@@ -1,12 +1,14 @@
-//! The mapping between the names and ids of servers.
+//! The mapping between the names of servers and their ids.
 
 use crate::name_hash::hash_name;
 use balancer_core::ServerId;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Maps the names of one balancer's servers to their ids and back. The id of a server is derived from the
-/// hash of its name, so that ids in the gossip of other balancers refer to the same servers.
+/// A two-way map between the names of a balancer's servers and their ids.
+///
+/// The id of a server is derived from the hash of its name, so that ids in the gossip of other balancers
+/// refer to the same servers.
 #[derive(Debug, Default)]
 pub struct ServerNames {
     ids: HashMap<Rc<str>, ServerId>,
@@ -14,7 +16,7 @@
 }
 
 impl ServerNames {
-    /// Creates a map without servers.
+    /// Creates an empty map.
     pub fn new() -> Self {
         ServerNames::default()
     }
@@ -24,8 +26,10 @@
         self.ids.get(name).copied()
     }
 
-    /// Returns the id of the server with this name, and adds the server if it is unknown. The id of a new
-    /// server is the low 32 bits of the hash of its name, or the next free id if another server has that id.
+    /// Returns the id of the server with this name, and adds the server if it is unknown.
+    ///
+    /// The id of a new server is the low 32 bits of the hash of its name, or the next free id if another
+    /// server already has that id.
     pub fn intern(&mut self, name: &Rc<str>) -> ServerId {
         if let Some(server) = self.find(name) {
             return server;
@@ -46,14 +50,14 @@
         self.names.keys().copied()
     }
 
-    /// Removes a server. Its id becomes free for another server.
+    /// Removes a server. Another server can then get its id.
     pub fn forget(&mut self, server: ServerId) {
         if let Some(name) = self.names.remove(&server) {
             self.ids.remove(&name);
         }
     }
 
-    /// Returns the first free id from `preferred` on. After the highest id the search continues at 0.
+    /// Returns the first free id, starting at `preferred`. After the highest id, the search continues at 0.
     fn find_free_id(&self, preferred: u32) -> ServerId {
         let mut id = preferred;
         while self.names.contains_key(&ServerId(id)) {
--- a/crates/balancer-settings/src/wire.rs
+++ b/crates/balancer-settings/src/wire.rs
@@ -1,13 +1,13 @@
 //! The JSON form of the settings. Absent keys have defaults, and unknown keys are ignored.
 //!
-//! A field without a comment has the same meaning as the field of that name in [`balancer_core::Settings`],
-//! in one of the types that it contains, or in [`HostSettings`](crate::HostSettings). Fields whose names end
-//! in `_ms` are in milliseconds.
+//! A field or variant without a comment has the same meaning as the one of that name in
+//! [`balancer_core::Settings`], in one of the types that it contains, or in
+//! [`HostSettings`](crate::HostSettings). Fields whose names end in `_ms` are in milliseconds.
 
 use serde::Deserialize;
 
-/// The settings object as it is read from JSON. It can be converted into [`balancer_core::Settings`] and into
-/// [`HostSettings`](crate::HostSettings).
+/// The settings object, as read from JSON. The object can be converted into [`balancer_core::Settings`] and
+/// into [`HostSettings`](crate::HostSettings).
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct WireSettings {
@@ -66,7 +66,7 @@
     pub(crate) late_value: f64,
     #[serde(rename = "stream")]
     pub(crate) is_streaming: bool,
-    /// The window of a deduplicated class, in which servers recognise retries.
+    /// How long servers recognise retries of a deduplicated class; see [`Effect`](balancer_core::Effect).
     pub(crate) dedup_window_ms: f64,
     #[serde(rename = "points")]
     pub(crate) priority_weight: f64,
@@ -124,7 +124,7 @@
     Work,
 }
 
-/// Properties of the service.
+/// Properties of the service that decisions depend on.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireServiceTraits {
@@ -150,7 +150,7 @@
     Piggyback,
     /// Responses to health checks only.
     Pull,
-    /// No responses; servers send no load reports.
+    /// No responses: servers send no load reports.
     #[default]
     Silent,
 }
@@ -198,7 +198,7 @@
     pub(crate) name: String,
 }
 
-/// What each kind of operation costs, as a deduction from the score.
+/// The costs of operations, as deductions from the score.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct WirePenalties {
--- a/crates/balancer-settings/tests/names.rs
+++ b/crates/balancer-settings/tests/names.rs
@@ -1,4 +1,4 @@
-//! Tests of the hash of names and of the mapping between the names and ids of servers.
+//! Tests of the hash of names, and of the mapping between the names of servers and their ids.
 
 use balancer_core::ServerId;
 use balancer_settings::{hash_name, ServerNames};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn server_number_is_the_low_half_of_the_hash_at_every_balancer() {
+fn server_id_is_the_low_half_of_the_hash_at_every_balancer() {
     let mut first = ServerNames::new();
     let mut second = ServerNames::default();
     first.intern(&name("backend_b"));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn interned_server_is_found_by_name_and_by_number() {
+fn interned_server_is_found_by_name_and_by_id() {
     let mut servers = ServerNames::new();
 
     let server = servers.intern(&name("backend_a"));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn colliding_name_gets_the_next_free_number() {
+fn colliding_name_gets_the_next_free_id() {
     let mut servers = ServerNames::new();
     let first = servers.intern(&name(COLLIDING[0]));
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn number_of_a_forgotten_server_is_free_for_another() {
+fn id_of_a_forgotten_server_is_free_for_another() {
     let mut servers = ServerNames::new();
     let first = servers.intern(&name(COLLIDING[0]));
 
