--- a/crates/balancer-core/src/balancer/feedback.rs
+++ b/crates/balancer-core/src/balancer/feedback.rs
@@ -1,8 +1,8 @@
-//! The updates of the estimates of all components when an attempt ends.
+//! Feedback from attempts: the estimates of all components are updated when an attempt ends.
 
 use super::Balancer;
 use crate::policy::concurrency::{min_limit, LatencySample, LATE_RATIO};
-use crate::policy::feedback::{observed_ratio, NO_LOAD};
+use crate::policy::feedback::{observed_ratio, UNINFORMATIVE_RATIO};
 use crate::policy::fleet::FleetView;
 use crate::policy::outlier::{evaluate_probe, find_outlier, is_relatively_slow, AttemptResult};
 use crate::policy::requests::{EndedAttempt, InFlightAttempt};
@@ -17,7 +17,7 @@
     /// suspects the server if it is an outlier.
     pub(super) fn record_attempt_end(&mut self, attempt: &InFlightAttempt, ended: &EndedAttempt) {
         let ratio = observed_ratio(&self.settings, &self.fleet[attempt.server], attempt, ended);
-        let shows_load = ratio > NO_LOAD;
+        let shows_load = ratio > UNINFORMATIVE_RATIO;
         if shows_load && !attempt.is_counted_slow {
             self.admission.record(ratio, self.in_flight.len());
         }
--- a/crates/balancer-core/src/balancer/polling.rs
+++ b/crates/balancer-core/src/balancer/polling.rs
@@ -1,4 +1,4 @@
-//! The recording of load reports, and polls of candidate servers for their load before one of them is
+//! Load reports: how they are recorded, and how candidates are polled for their load before one of them is
 //! selected.
 
 use super::Balancer;
--- a/crates/balancer-core/src/event.rs
+++ b/crates/balancer-core/src/event.rs
@@ -97,16 +97,16 @@
     Request(Request),
     /// The response to a streaming request has begun. From now on, the request is bound to this attempt.
     FirstByte {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
-        /// The attempt whose response has begun.
+        /// The number of the attempt whose response has begun.
         attempt: AttemptNumber,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: AttemptNumber,
         /// How the attempt ended.
         outcome: Outcome,
@@ -119,7 +119,7 @@
     },
     /// The client has disconnected, so the request no longer needs a final response.
     ClientDisconnected {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
     },
     /// A timer that was set by [`Action::SetTimer`] is due.
@@ -151,9 +151,9 @@
 pub enum Action {
     /// Send an attempt. Attempts of a request are numbered in the order in which they are sent.
     Send {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
-        /// The server to send it to.
+        /// The server that the attempt is sent to.
         server: ServerId,
         /// The moment at which the attempt times out.
         timeout_at: Time,
@@ -163,22 +163,22 @@
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: AttemptNumber,
     },
     /// Reject the request. The rejection is the final response to the request, and a retry by the client
     /// cannot duplicate the effect of the request.
     Reject {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
         /// The delay after which the client should retry; `None` if there is no advice for the client.
         retry_after: Option<Span>,
     },
     /// Fail the request. The failure is the final response to the request, which may have run.
     Fail {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
     },
     /// Pass [`Event::TimerDue`] to the balancer at the given time. Timers are never cancelled.
--- a/crates/balancer-core/src/policy/feedback.rs
+++ b/crates/balancer-core/src/policy/feedback.rs
@@ -7,7 +7,7 @@
 use crate::{Outcome, Settings};
 
 /// The latency ratio of an attempt that shows nothing about the load of its server.
-pub const NO_LOAD: LatencyRatio = LatencyRatio::new(0.0);
+pub const UNINFORMATIVE_RATIO: LatencyRatio = LatencyRatio::new(0.0);
 
 /// Returns the latency ratio that an ended attempt counts as. All late responses count the same.
 ///
@@ -27,10 +27,10 @@
             let ratio = ended.elapsed.as_millis_f64() / objective.as_millis_f64();
             LatencyRatio::new(ratio.min(LATE_RATIO.value()))
         }
-        Outcome::TimedOut | Outcome::Cancelled if is_connection_lost(server, attempt) => NO_LOAD,
+        Outcome::TimedOut | Outcome::Cancelled if is_connection_lost(server, attempt) => UNINFORMATIVE_RATIO,
         Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE_RATIO,
         Outcome::ServerError | Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::NotSent => {
-            NO_LOAD
+            UNINFORMATIVE_RATIO
         }
     }
 }
--- a/crates/balancer-core/src/policy/outlier/detection.rs
+++ b/crates/balancer-core/src/policy/outlier/detection.rs
@@ -7,18 +7,18 @@
 use crate::units::LatencyRatio;
 use crate::{EjectionReason, Outcome, Time};
 
-/// Multiple of the fleet's median latency ratio above which a server is slow. A server below it needs no
-/// ejection, because routing by the attempts in flight already shifts load to other servers.
+/// Multiple of the fleet's median latency ratio above which a server is slow. Below this multiple, no
+/// ejection is needed: the balancer's own counts of attempts in flight shift the load to other servers.
 const OUTLIER_FACTOR: f64 = 3.0;
 /// Lower bound of the fleet's median latency ratio where the latency ratio of a probe is compared with it.
 const MIN_MEDIAN_RATIO: f64 = 0.1;
-/// Latency samples needed before a server can be ejected as slow, so that one costly request does not eject
-/// it.
+/// Latency samples needed before a server can be ejected as slow, so that a single costly request does not
+/// cause an ejection.
 const MIN_SAMPLES: u32 = 4;
 /// Consecutive failures after which a server is ejected in a dense view.
 const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
-/// Largest fraction of the serving servers that may be ejected. If more servers than that are outliers, the
-/// cause is not in the servers themselves.
+/// Largest fraction of the serving servers that may be ejected. If more of them are outliers, the servers
+/// themselves are not the cause.
 const MAX_EJECTED_FRACTION: f64 = 0.75;
 
 /// The outcome and the latency ratio of an attempt that has ended.
@@ -30,7 +30,8 @@
     pub ratio: LatencyRatio,
 }
 
-/// Returns the reason to eject the server after its last attempt, or `None` if the server is not an outlier.
+/// Returns the reason to eject or suspect the server after its last attempt, or `None` if the server is not
+/// an outlier.
 pub fn find_outlier(
     server: &ServerState,
     last: AttemptResult,
--- a/crates/balancer-core/src/policy/outlier/detection/tests.rs
+++ b/crates/balancer-core/src/policy/outlier/detection/tests.rs
@@ -6,8 +6,8 @@
 const NOW: Time = Time::from_millis(1_000);
 const SERVER: ServerId = ServerId(1);
 
-/// Ejects a server of a fleet with a very low median latency, and probes the server once. Returns whether the
-/// probe ended the ejection.
+/// Ejects a server of a fleet with a very low median latency, and probes the server once. Returns whether
+/// the ejection ends if the probe succeeds with this latency ratio.
 fn ends_ejection(ratio: f64) -> bool {
     let mut fleet = ServerRegistry::new();
     // Five servers: the only server of a fleet is never ejected.
--- a/crates/balancer-core/src/policy/suspicion/zone_links/tests.rs
+++ b/crates/balancer-core/src/policy/suspicion/zone_links/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 const ZONE: ZoneId = ZoneId(1);
-const OTHER: ZoneId = ZoneId(2);
+const OTHER_ZONE: ZoneId = ZoneId(2);
 const NOW: Time = Time::from_millis(1_000);
 const DOWN_UNTIL: Time = Time::from_millis(2_000);
 
@@ -13,7 +13,7 @@
 
     assert_eq!(links.count_failure(ZONE), 1);
     assert_eq!(links.count_failure(ZONE), 2);
-    assert_eq!(links.count_failure(OTHER), 1);
+    assert_eq!(links.count_failure(OTHER_ZONE), 1);
 }
 
 #[test]
@@ -36,7 +36,7 @@
 
     assert!(links.is_down(DOWN_UNTIL - Span::from_micros(1), ZONE));
     assert!(!links.is_down(DOWN_UNTIL, ZONE));
-    assert!(!links.is_down(NOW, OTHER));
+    assert!(!links.is_down(NOW, OTHER_ZONE));
 }
 
 #[test]
@@ -52,11 +52,11 @@
 fn unknown_zones_are_dropped() {
     let mut links = ZoneLinks::default();
     links.mark_down(ZONE, DOWN_UNTIL);
-    links.mark_down(OTHER, DOWN_UNTIL);
+    links.mark_down(OTHER_ZONE, DOWN_UNTIL);
 
     links.retain(&BTreeSet::from([ZONE]));
 
     assert_eq!(links.len(), 1);
     assert!(links.is_down(NOW, ZONE));
-    assert!(!links.is_down(NOW, OTHER));
+    assert!(!links.is_down(NOW, OTHER_ZONE));
 }
--- a/crates/balancer-settings/src/decision_settings.rs
+++ b/crates/balancer-settings/src/decision_settings.rs
@@ -161,8 +161,8 @@
     match scope {
         Some(WireDedupScope::All) => DedupScope::Fleet,
         Some(WireDedupScope::Zone) => DedupScope::Zone,
-        // A missing scope means the narrowest one. With a wider scope, a retry in another cell could duplicate
-        // the effect.
+        // A missing scope means the narrowest one. With a wider scope, a retry in another cell could
+        // duplicate the effect.
         Some(WireDedupScope::Cell) | None => DedupScope::Cell,
     }
 }
