--- a/crates/balancer-core/src/balancer/requests.rs
+++ b/crates/balancer-core/src/balancer/requests.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Sends the queued requests for which a server is eligible, and finishes the requests that have waited
-    /// too long unserved.
+    /// Sends the queued requests for which a server is eligible. Finishes those that have waited too long
+    /// without serving them.
     pub(super) fn drain_queue(&mut self) {
         if self.queue.is_empty() {
             return;
--- a/crates/balancer-core/src/time.rs
+++ b/crates/balancer-core/src/time.rs
@@ -94,8 +94,7 @@
 impl Add<Span> for Time {
     type Output = Time;
 
-    /// Returns the moment `span` after this one, or the latest moment that can be represented if that is
-    /// earlier.
+    /// Returns the moment `span` after this one, but at most the latest moment that can be represented.
     fn add(self, span: Span) -> Time {
         Time(self.0.saturating_add(span.0))
     }
@@ -104,7 +103,7 @@
 impl Sub<Span> for Time {
     type Output = Time;
 
-    /// Returns the moment `span` before this one, or the epoch if that is later.
+    /// Returns the moment `span` before this one, but not a moment before the epoch.
     fn sub(self, span: Span) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
