--- a/crates/balancer-agent/src/listener.rs
+++ b/crates/balancer-agent/src/listener.rs
@@ -1,5 +1,5 @@
-//! The agent's server side: accepts the connections of clients, validates their requests, and writes one
-//! response to each request.
+//! The agent's server side, which accepts the connections of clients, validates their requests, and writes
+//! one response to each request.
 
 mod acceptor;
 mod client_connection;
@@ -39,13 +39,13 @@
     connections: ConnectionTable,
     request_handler: RequestHandler,
     shutdown: ShutdownSignal,
-    /// The longest that a client waits for a response.
+    /// The longest that clients wait for a response.
     longest_timeout: Duration,
 }
 
 impl Listener {
     /// Creates a listener that serves at most `max_connections` connections at a time. `longest_timeout` is
-    /// the longest that a client waits for a response.
+    /// the longest that clients wait for a response.
     pub fn new(driver: Rc<Driver>, max_connections: usize, longest_timeout: Duration) -> Rc<Self> {
         Rc::new(Listener {
             connections: ConnectionTable::new(max_connections),
@@ -57,8 +57,9 @@
 
     /// Runs the accept loop until a graceful shutdown ends it.
     ///
-    /// Each connection is accepted at once. If all slots are in use then, a connection without a request is
-    /// evicted. Otherwise, hundreds of unused connections could lock other clients out.
+    /// A connection is accepted even if all slots are in use. In that case, connections without a request are
+    /// evicted until a slot is free for the new connection. Without evictions, hundreds of unused connections
+    /// could lock other clients out.
     pub async fn accept(self: Rc<Self>, socket: TcpListener) {
         let acceptor = Acceptor::new(socket);
         while let Some(stream) = acceptor.next_connection(&self.shutdown).await {
@@ -72,7 +73,7 @@
     /// connections.
     ///
     /// Returns once `accept_task` has accepted the last connection and each connection has been closed after
-    /// its last response, or shortly before SIGKILL is due if that is earlier.
+    /// its last response, but at the latest at [`ShutdownSchedule::exit_by`], before SIGKILL is due.
     pub async fn shut_down(&self, accept_task: JoinHandle<()>) {
         let schedule = ShutdownSchedule::starting_at(Instant::now(), self.longest_timeout);
         self.shutdown.start(schedule);
@@ -81,7 +82,7 @@
             let _ = accept_task.await;
             self.connections.wait_until_empty().await;
         };
-        // At the time limit the agent exits even if connections are still open.
+        // After the time limit, the agent exits even if connections are still open.
         let _ = timeout_at(schedule.exit_by(), all_closed).await;
     }
 
@@ -100,7 +101,7 @@
         connection.serve(stream, service, slot_usage, &self.shutdown, self.longest_timeout).await;
     }
 
-    /// Responds to one request, and decides whether the response is the last one on its connection.
+    /// Returns the response to one request, with `Connection: close` if it is the last one on its connection.
     async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
--- a/crates/balancer-agent/src/listener/acceptor.rs
+++ b/crates/balancer-agent/src/listener/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections from the listening socket, until some time after the beginning of a shutdown.
+//! The acceptor of client connections, which continues for some time after a shutdown has started.
 
 use super::shutdown::ShutdownSignal;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 /// The kernel's accept queue counts as empty once no connection has been accepted for this long.
 const EMPTY_QUEUE_TIME: Duration = Duration::from_millis(20);
 
-/// Accepts the connections of clients.
+/// An acceptor of the connections that clients open to a listening socket.
 pub struct Acceptor {
     socket: TcpListener,
 }
@@ -22,7 +22,8 @@
         Acceptor { socket }
     }
 
-    /// Waits for the next connection. Returns `None` once a shutdown no longer accepts connections.
+    /// Waits for the next connection. Returns `None` when the agent stops accepting connections during a
+    /// shutdown.
     pub async fn next_connection(&self, shutdown: &ShutdownSignal) -> Option<TcpStream> {
         loop {
             tokio::select! {
@@ -37,8 +38,11 @@
     }
 }
 
-/// Waits until a shutdown no longer accepts connections: until the scheduled time, but not before the accept
-/// queue is empty.
+/// Waits until the agent stops accepting connections: at the scheduled time of a shutdown, or later if the
+/// accept queue is not empty by then.
+///
+/// This wait starts again after each accepted connection, so that [`EMPTY_QUEUE_TIME`] counts from the last
+/// one.
 async fn wait_until_accepting_ends(shutdown: &ShutdownSignal) {
     let schedule = shutdown.started().await;
     let queue_empty_at = Instant::now() + EMPTY_QUEUE_TIME;
--- a/crates/balancer-agent/src/listener/client_connection.rs
+++ b/crates/balancer-agent/src/listener/client_connection.rs
@@ -1,5 +1,5 @@
-//! A client connection: the task that serves its requests, and closes it at a time limit, on eviction or
-//! during a shutdown.
+//! A client connection, and the loop that serves its requests until the connection is closed: by the client,
+//! at a time limit, by an eviction, or during a shutdown.
 
 use super::response::ClientResponse;
 use super::shutdown::ShutdownSignal;
@@ -18,11 +18,11 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// How often a connection's time limit is computed. The limit changes with the connection's phase and with
-/// the number of other connections.
+/// The interval at which a connection's time limit is computed again. The limit changes with the connection's
+/// phase and with the number of other connections.
 const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Identifies an open connection.
+/// The id of a connection. Ids are not reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct ConnectionId(u64);
 
@@ -33,16 +33,17 @@
     }
 }
 
-/// A client connection that has been accepted. The task that serves it and the connection table share it.
+/// A client connection that has been accepted. The task that serves the connection and the connection table
+/// share this value.
 pub struct ClientConnection {
     id: ConnectionId,
     state: Rc<ConnectionState>,
-    /// Notifies the task that serves the connection of an eviction.
+    /// The notification of the task that serves the connection that an eviction has been requested.
     eviction_requested: Notify,
 }
 
 impl ClientConnection {
-    /// Creates the entry for a connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new(id: ConnectionId) -> Self {
         ClientConnection { id, state: ConnectionState::new(), eviction_requested: Notify::new() }
     }
@@ -52,20 +53,21 @@
         self.id
     }
 
-    /// Returns the connection's state.
+    /// Returns the state that the connection's stream and the time limits share.
     pub fn state(&self) -> &Rc<ConnectionState> {
         &self.state
     }
 
-    /// Notifies the task that serves the connection to close it. The task does not close the connection if a
-    /// part of a request has been received by then.
+    /// Requests the eviction of the connection. The task that serves the connection then closes it, unless at
+    /// least a part of a request has been received by then.
     pub fn evict(&self) {
         self.eviction_requested.notify_one();
     }
 
-    /// Serves the requests that are received over the stream, until the client closes the connection, a time
-    /// limit expires, or the connection is evicted. During a shutdown, the connection is closed after its
-    /// last response. `slot_usage` returns the current slot usage.
+    /// Serves the requests that are received over the stream, until the connection is closed.
+    ///
+    /// The connection is closed when the client closes it, a time limit expires, or it is evicted. During a
+    /// shutdown, it is closed after its last response. `slot_usage` returns the current slot usage.
     pub async fn serve<S>(
         &self,
         stream: TcpStream,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Returns whether a request is open or partly received.
+    /// Returns whether a request has been received at least in part, and its response is not written yet.
     fn has_request(&self) -> bool {
         match self.state.phase() {
             Phase::Receiving | Phase::Processing | Phase::Responding => true,
@@ -120,8 +122,9 @@
         }
     }
 
-    /// Returns whether a shutdown waits for a request on the connection: for the first request, or for one
-    /// that has been received in part. The response to that request closes the connection.
+    /// Returns whether a shutdown must wait for a request before it may close the connection: for the first
+    /// request, or for the rest of one that has been received in part. The response to that request closes
+    /// the connection.
     fn is_awaiting_request(&self) -> bool {
         matches!(self.state.phase(), Phase::Silent | Phase::Receiving)
     }
--- a/crates/balancer-agent/src/listener/connection_table.rs
+++ b/crates/balancer-agent/src/listener/connection_table.rs
@@ -1,5 +1,7 @@
-//! The table of open client connections. Each connection occupies a slot. When all slots are in use,
-//! connections are evicted to free one.
+//! The table of open client connections.
+//!
+//! Each connection occupies a slot. When all slots are in use, the agent evicts connections: it closes
+//! connections without a request to free a slot.
 
 use super::client_connection::{ClientConnection, ConnectionId};
 use super::slot_usage::SlotUsage;
@@ -12,7 +14,7 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// How often a wait for a slot searches for a connection that has become evictable.
+/// The interval at which a wait for a slot searches for a connection that has become evictable.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The table of open client connections.
@@ -20,7 +22,8 @@
     max_connections: usize,
     next_id: Cell<ConnectionId>,
     connections: RefCell<HashMap<ConnectionId, Rc<ClientConnection>>>,
-    /// Notifies the tasks that wait for a slot or for the end of all connections.
+    /// The notification that a connection has been closed. At most one task waits for it at a time: the
+    /// accept loop for a free slot, or afterwards the shutdown for the close of all connections.
     connection_closed: Notify,
 }
 
@@ -59,7 +62,8 @@
     pub async fn wait_for_slot(&self) {
         while self.connections.borrow().len() >= self.max_connections {
             self.evict_one();
-            // Ends when a connection has been closed, or when the search for an evictable one is due again.
+            // This wait ends when a connection has been closed, or when the next search for an evictable one
+            // is due.
             let _ = timeout(EVICTION_INTERVAL, self.connection_closed.notified()).await;
         }
     }
@@ -71,8 +75,8 @@
         }
     }
 
-    /// Evicts the evictable connection with the lowest [`EvictionRank`], if any. Its close costs the client
-    /// least.
+    /// Evicts the evictable connection with the lowest [`EvictionRank`], if there is one. The close of this
+    /// connection costs its client least.
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let evictable = connections.values().filter(|connection| is_evictable(connection.state()));
@@ -94,9 +98,10 @@
     }
 }
 
-/// The rank of an evictable connection in the order of eviction; the lowest rank comes first. Silent and
-/// closing connections come before idle ones. Among equals, the connection that has been in its phase the
-/// longest comes first.
+/// The rank of an evictable connection in the order of eviction; the lowest rank comes first.
+///
+/// Silent and closing connections come before idle ones. Among equals, the connection that has been in its
+/// phase the longest comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     is_idle: bool,
--- a/crates/balancer-agent/src/listener/invalid_request.rs
+++ b/crates/balancer-agent/src/listener/invalid_request.rs
@@ -4,7 +4,7 @@
 use hyper::header::{HeaderValue, ALLOW};
 use hyper::StatusCode;
 
-/// Why a request is invalid. The error message is the text of the response to the client.
+/// The reason why a request is invalid. The error message is the text of the response to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The length of the request's body is ambiguous.
--- a/crates/balancer-agent/src/listener/open_requests.rs
+++ b/crates/balancer-agent/src/listener/open_requests.rs
@@ -1,5 +1,7 @@
-//! The ids of open requests. Clients use a new id for every request. A second request with the id of an open
-//! one is therefore an error; at the server it would interfere with the first one.
+//! The ids of open requests.
+//!
+//! Clients use a new id for every request, so a second request with the id of an open one is an error. Such a
+//! request is not forwarded, because it would interfere with the first one at the server.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -11,7 +13,8 @@
 }
 
 impl OpenRequestIds {
-    /// Adds an id to the set. Returns `None` if the set contains the id already.
+    /// Adds an id to the set until the returned guard is dropped. Returns `None` if the set already contains
+    /// the id.
     pub fn open(&self, id: &str) -> Option<OpenRequestGuard<'_>> {
         let id: Box<str> = id.into();
         let is_new = self.ids.borrow_mut().insert(id.clone());
@@ -19,7 +22,7 @@
     }
 }
 
-/// Keeps an id in the set. Dropping the guard removes the id.
+/// A guard that keeps an id in the set. Dropping the guard removes the id.
 pub struct OpenRequestGuard<'a> {
     open_ids: &'a OpenRequestIds,
     id: Box<str>,
--- a/crates/balancer-agent/src/listener/request_handler.rs
+++ b/crates/balancer-agent/src/listener/request_handler.rs
@@ -1,4 +1,4 @@
-//! Handles one client request, from its head to its final response.
+//! The handling of one client request, from its head to its final response.
 
 use super::invalid_request::InvalidRequest;
 use super::open_requests::OpenRequestIds;
@@ -17,11 +17,12 @@
 
 /// The path of readiness requests.
 const READINESS_PATH: &str = "/ready";
-/// How long after a request's deadline the request handler responds itself, if the balancer has not provided
-/// the final response by then.
+/// How long after a request's deadline the handler waits for the final response. After that, the handler
+/// responds itself.
 const DEADLINE_SLACK: Duration = Duration::from_millis(4);
 
-/// Validates requests, submits them to the driver and waits for their final responses.
+/// The handler of client requests, which validates them, submits them to the driver and waits for their final
+/// responses.
 pub struct RequestHandler {
     driver: Rc<Driver>,
     open_requests: OpenRequestIds,
@@ -37,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// If the request is invalid. In this case it has not been submitted to the driver.
+    /// Returns the reason if the request is invalid. Such a request has not been submitted to the driver.
     pub async fn handle(
         &self,
         request: Request<Incoming>,
@@ -83,8 +84,10 @@
     }
 }
 
-/// Notifies the driver on drop that a request no longer needs a response. When a client disconnects, hyper
-/// drops the future that holds this guard. If the request is finished, the driver does nothing.
+/// A guard that notifies the driver on drop that a request no longer needs a response.
+///
+/// When a client disconnects, hyper drops the future that holds this guard. If the request is already
+/// finished, the notification has no effect.
 struct DisconnectGuard<'a> {
     driver: &'a Rc<Driver>,
     id: RequestId,
--- a/crates/balancer-agent/src/listener/slot_usage.rs
+++ b/crates/balancer-agent/src/listener/slot_usage.rs
@@ -1,12 +1,12 @@
 //! The usage of the slots for client connections.
 
-/// The minimum fraction of slots in use at which usage is elevated. A client counts connections that it has
-/// abandoned towards the number of connections that it may hold. Slots therefore become scarce well before
-/// all of them are in use.
+/// The minimum fraction of slots in use at which usage is elevated. A client may hold a limited number of
+/// connections and counts those that it has abandoned. Connections therefore become scarce well before all
+/// slots are in use.
 const MIN_ELEVATED_USAGE_FRACTION: f64 = 0.25;
-/// The minimum fraction of slots in use at which usage is high. Clients that send one request per connection
-/// and keep the connection open reach the number of connections that they may hold long before the agent may
-/// close an idle connection.
+/// The minimum fraction of slots in use at which usage is high. Closing idle connections is not enough then:
+/// clients that send one request per connection and keep the connection open reach the number of connections
+/// that they may hold long before the agent may close an idle connection.
 const MIN_HIGH_USAGE_FRACTION: f64 = 0.5;
 
 /// The level of slot usage, which decides when connections are closed.
@@ -17,8 +17,8 @@
     /// Idle connections are closed as soon as this is permitted, after
     /// [`MIN_IDLE_TIME`](super::time_limits::MIN_IDLE_TIME).
     Elevated,
-    /// Idle connections are closed as at elevated usage, and each response announces that its connection is
-    /// closed. The client sends no request on the connection after that, so the close cuts off no request.
+    /// Idle connections are closed as at elevated usage, and each response has a `Connection: close` header.
+    /// The client sends no request on the connection after that, so the close cuts off no request.
     High,
 }
 
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -9,14 +9,15 @@
 /// How long a connection must have been silent before it may be evicted when all slots are in use. Clients
 /// connect when they have a request to send, so the first byte follows soon.
 pub const MIN_SILENT_TIME: Duration = Duration::from_millis(100);
-/// How long a connection must have been idle before it may be closed. The agent guarantees 2 s to clients
-/// (TERMS page, "Requests and connections").
+/// How long a connection must have been idle before it may be closed. The agent guarantees clients at least
+/// 2 s (TERMS page, "Requests and connections").
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(2_050);
-/// The time within which a request must be received completely. The time counts from the accept for the first
-/// request of a connection, and from the first byte of the request for later ones; see
-/// docs/findings/late-request-cut-off.md for the reason. Connections without a complete request occupy slots
-/// that other clients need. The agent must respond on such a connection or close it within 3 s (TERMS page,
-/// "Peers").
+/// The time within which a request must be received completely.
+///
+/// The time counts from the accept for the first request of a connection, and from the first byte of the
+/// request for later ones (docs/findings/late-request-cut-off.md). Connections without a complete request
+/// occupy slots that other clients need. The agent must respond on such a connection or close it within 3 s
+/// (TERMS page, "Peers").
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// How long a connection may be idle at low slot usage.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
@@ -31,13 +32,14 @@
 }
 
 impl TimeLimits {
-    /// Creates the limits of a connection that is accepted now. `longest_timeout` is the longest that a
-    /// client waits for a response.
+    /// Creates the limits of a connection that is accepted now. `longest_timeout` is the longest that clients
+    /// wait for a response.
     pub fn starting_now(longest_timeout: Duration) -> Self {
         TimeLimits { accepted_at: Instant::now(), longest_timeout }
     }
 
-    /// Returns until when the connection may stay in its phase, or `None` if the phase ends by itself.
+    /// Returns the time until which the connection may stay in its current phase, or `None` if the phase has
+    /// no limit.
     pub fn current(
         &self,
         state: &ConnectionState,
@@ -52,16 +54,17 @@
             Phase::Receiving => Some(self.accepted_at + READ_TIMEOUT),
             // The request handler responds shortly after the request's deadline at the latest.
             Phase::Processing => None,
-            // No client waits longer than this for a response.
+            // The client has stopped waiting for the response by then.
             Phase::Responding => Some(since + self.longest_timeout.max(MIN_IDLE_TIME)),
             Phase::Idle => Some(since + max_idle_time(usage)),
             Phase::Closing => Some(since + CLOSE_TIMEOUT),
         }
     }
 
-    /// Returns when the connection is closed if no byte has been received by then. During a shutdown this is
-    /// the time until which connections are accepted, but at least [`MIN_SILENT_TIME`] after the accept of
-    /// this connection.
+    /// Returns the time at which the connection is closed if no byte has been received by then.
+    ///
+    /// During a shutdown, the limit is no later than the end of the time in which connections are accepted.
+    /// However, a connection may always be silent for [`MIN_SILENT_TIME`] after its accept.
     fn silent_limit(&self, shutdown: Option<ShutdownSchedule>) -> Instant {
         let limit = self.accepted_at + READ_TIMEOUT;
         let Some(schedule) = shutdown else { return limit };
--- a/crates/balancer-agent/src/listener/validation.rs
+++ b/crates/balancer-agent/src/listener/validation.rs
@@ -1,5 +1,5 @@
-//! Validates a client's request and converts it to a [`ClientRequest`] (PROTOCOL page, "The application to
-//! its agent").
+//! The validation of a client's request, and its conversion to a [`ClientRequest`] (PROTOCOL page, "The
+//! application to its agent").
 
 use super::invalid_request::InvalidRequest;
 use super::time_limits::READ_TIMEOUT;
@@ -39,7 +39,7 @@
 /// The time that is reserved for writing the response, at the end of a client's timeout. Less time is
 /// reserved if the timeout is short; see [`RESPONSE_WRITE_DIVISOR`].
 const RESPONSE_WRITE_TIME: Duration = Duration::from_millis(6);
-/// At most the timeout divided by this number is reserved for writing the response.
+/// The timeout divided by this number is the maximum time that is reserved for writing the response.
 const RESPONSE_WRITE_DIVISOR: u32 = 4;
 /// The maximum timeout of a request.
 const MAX_TIMEOUT: Duration = Duration::from_secs(600);
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// The first reason for which the request is found to be invalid.
+/// Returns the first reason why the request is invalid.
 pub async fn read_request(
     request: Request<Incoming>,
     driver: &Driver,
@@ -118,7 +118,8 @@
     client_timeout.saturating_sub(write_time)
 }
 
-/// Checks the method and the idempotency key, which the effect of the request's class determines.
+/// Checks that the request has the method that the effect of its class requires, and an idempotency key if
+/// the effect requires one.
 fn check_effect(effect: Effect, head: &Parts) -> Result<(), InvalidRequest> {
     let allowed = if effect == Effect::Idempotent { "GET" } else { "POST" };
     if head.method != allowed {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Returns the routing key, or `None` if the request's query has none.
+/// Returns the request's routing key, or `None` if the query contains none.
 fn routing_key_of(head: &Parts) -> Option<RoutingKey> {
     let query = head.uri.query()?;
     let key = query.split('&').find_map(|parameter| parameter.strip_prefix(ROUTING_KEY_PREFIX))?;
--- a/crates/balancer-agent/src/main.rs
+++ b/crates/balancer-agent/src/main.rs
@@ -1,5 +1,7 @@
-//! A client-side load-balancing agent. The agent runs beside its clients, accepts their HTTP/1.1 requests,
-//! and sends them over HTTP/1.1 to the servers that [`balancer_core`] selects.
+//! A client-side load-balancing agent.
+//!
+//! The agent runs beside its clients, accepts their HTTP/1.1 requests, and sends them over HTTP/1.1 to the
+//! servers that [`balancer_core`] selects.
 
 mod clock;
 mod config;
@@ -27,13 +29,13 @@
 
 /// The number of file descriptors that are reserved for files, discovery and the runtime.
 const RESERVED_SOCKETS: usize = 24;
-/// The fraction of the unreserved file descriptors that client connections may use. Clients use at most a
-/// third of all descriptors for their requests (TERMS page).
+/// The fraction of the unreserved file descriptors that client connections may use. Half of them is enough,
+/// because clients use at most a third of all descriptors for their requests (TERMS page).
 const CLIENT_SOCKET_FRACTION: f64 = 0.5;
 /// The exit code of an agent that cannot start or continue.
 const EXIT_FAILURE: u8 = 2;
 
-/// Why the agent could not start or continue.
+/// An error because of which the agent cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 enum AgentError {
     #[error(transparent)]
@@ -59,11 +61,12 @@
 }
 
 impl SocketLimits {
-    /// Divides the file descriptors that the process may open between clients and servers.
+    /// Divides the file descriptors that the process may open, without the reserved ones, between clients and
+    /// servers.
     fn divide(max_sockets: usize) -> Self {
-        let sockets = max_sockets.saturating_sub(RESERVED_SOCKETS);
-        let clients = (sockets as f64 * CLIENT_SOCKET_FRACTION) as usize;
-        SocketLimits { clients, servers: sockets - clients }
+        let unreserved = max_sockets.saturating_sub(RESERVED_SOCKETS);
+        let clients = (unreserved as f64 * CLIENT_SOCKET_FRACTION) as usize;
+        SocketLimits { clients, servers: unreserved - clients }
     }
 }
 
@@ -90,8 +93,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, serve(config))
 }
 
-/// Serves until SIGTERM, and then until all accepted requests are finished. SIGHUP reloads the address of
-/// discovery.
+/// Serves clients until SIGTERM, and then shuts down gracefully. Reloads the address of discovery at SIGHUP.
 async fn serve(config: Config) -> Result<(), AgentError> {
     let mut terminate = install_signal_handler(SignalKind::terminate(), "SIGTERM")?;
     let hangup = install_signal_handler(SignalKind::hangup(), "SIGHUP")?;
@@ -111,8 +113,8 @@
     tokio::task::spawn_local(reload_on_hangup(hangup, driver, name.clone()));
     tokio::select! {
         _ = terminate.recv() => {}
-        // Without the driver, requests would be accepted but never finished. The agent exits, so that it is
-        // restarted.
+        // The driver's task ends only if it panics. Without it, the balancer's timers would never be due, and
+        // requests could wait until their deadlines. The agent exits, so that it is restarted.
         _ = &mut driver_task => return Err(AgentError::DriverStopped),
     }
     listener.shut_down(accept_task).await;
@@ -125,7 +127,7 @@
     signal(kind).map_err(|source| AgentError::Signal { signal: name, source })
 }
 
-/// Returns the longest time that a client waits for a response, over all request classes.
+/// Returns the longest timeout of the request classes, which is the longest that clients wait for a response.
 fn longest_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|class| class.timeout).max();
     Duration::from_micros(longest.unwrap_or_default().as_micros())
