--- a/crates/balancer-agent/src/clock.rs
+++ b/crates/balancer-agent/src/clock.rs
@@ -1,16 +1,17 @@
-//! The clock of the agent, which gives the balancer its time.
+//! The agent's clock, which provides the balancer's times.
 
 use balancer_core::{Span, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The longest time after the start that is converted to an instant, about 35 years. Adding much more to an
-/// instant would overflow.
+/// The maximum time after the start of the clock that is added to an instant, about 35 years. A much longer
+/// time would make the addition overflow.
 const MAX_OFFSET: Span = Span::from_micros(1 << 50);
 
-/// A clock that shows Unix time. It reads the system clock once, at the start, and advances with the
-/// monotonic clock. Its times can be compared with the start times of servers, and a step of the system clock
-/// does not move any deadline.
+/// A clock that shows Unix time, so that its times can be compared with the start times of servers.
+///
+/// The clock reads the system clock once, at the start, and then advances with the monotonic clock. A step of
+/// the system clock therefore does not move any deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
--- a/crates/balancer-agent/src/config.rs
+++ b/crates/balancer-agent/src/config.rs
@@ -1,5 +1,7 @@
-//! The agent's configuration, read at the start from the `PROXY_*` environment variables and from the file
-//! whose path is in `PROXY_CONFIG` (DEPLOY page, "What an agent is told").
+//! The agent's configuration (DEPLOY page, "What an agent is told").
+//!
+//! At the start, the agent reads it from the `PROXY_*` environment variables and from the file whose path is
+//! in `PROXY_CONFIG`. If a value is set in both, the variable takes precedence.
 
 use crate::endpoint_list::EndpointList;
 use balancer_core::{DiscoveryMode, Settings, SettingsError};
@@ -8,7 +10,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The limit on file descriptors if the configuration sets none. The value suits small machines.
+/// The limit on file descriptors if the configuration sets none in `limits.sockets`. The value suits small
+/// machines.
 const DEFAULT_SOCKETS: usize = 1024;
 /// The lowest limit on file descriptors with which the agent can serve requests.
 const MIN_SOCKETS: usize = 80;
@@ -64,7 +67,7 @@
     /// The balancer does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A request class has no name, so no request can specify it.
+    /// A request class has no name, so no request can name its class.
     #[error("class {class} of the settings has no name")]
     UnnamedClass {
         /// The index of the class, counted from 0.
@@ -81,7 +84,7 @@
 /// The agent's configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The agent's name in log lines.
+    /// The agent's name, which is written in log lines.
     pub name: String,
     /// The address on which the agent accepts client connections.
     pub listen_address: SocketAddr,
@@ -102,18 +105,25 @@
 /// The keys of the configuration file that the agent reads. Other keys are ignored.
 #[derive(Deserialize)]
 struct ConfigFile {
+    /// The agent's name.
     #[serde(default)]
     name: Option<String>,
+    /// The address that the agent listens on.
     #[serde(default)]
     listen: Option<String>,
+    /// The address of discovery.
     #[serde(default)]
     discovery: Option<String>,
+    /// The text from which [`parse_seed`] derives the seed.
     #[serde(default)]
     seed: Option<String>,
+    /// The resource limits of the process.
     #[serde(default)]
     limits: Limits,
+    /// The cached endpoint list, in the form in which discovery sends it; null if the file contains none.
     #[serde(default)]
     known: serde_json::Value,
+    /// The settings of the balancer and its host.
     settings: WireSettings,
 }
 
@@ -138,11 +148,13 @@
     }
 }
 
+/// Parses a socket address. `key` names the value in the error.
 fn parse_address(key: &'static str, value: String) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|_| ConfigError::BadAddress { key, value })
 }
 
 /// Reads the address of discovery from the configuration file, which may have been replaced since the start.
+///
 /// Unlike at the start, `PROXY_DISCOVERY` does not override the address in the file.
 ///
 /// # Errors
@@ -165,6 +177,7 @@
         Self::from_file(ConfigFile::read(&read_variable)?, read_variable)
     }
 
+    /// Creates the configuration from the content of the file and the environment variables.
     fn from_file(
         file: ConfigFile,
         read_variable: impl Fn(&str) -> Option<String>,
@@ -192,6 +205,7 @@
     }
 }
 
+/// Checks that each request class has a name.
 fn check_class_names(host_settings: &HostSettings) -> Result<(), ConfigError> {
     match host_settings.class_names.iter().position(String::is_empty) {
         Some(class) => Err(ConfigError::UnnamedClass { class }),
@@ -221,8 +235,9 @@
     Settings {
         // Changes to the endpoint list arrive only while a watch is open.
         discovery_mode: DiscoveryMode::OnRequest,
-        // The protocol assumes that the agent is notified of changes even while no watch is open. A broken
-        // watch must therefore be reopened well within the drain grace, however often it breaks.
+        // The protocol assumes that the agent is notified of a change even if no watch is open, and the drain
+        // grace counts from then. A broken watch must therefore be reopened well within the drain grace,
+        // however often it breaks.
         max_poll_interval: settings.max_poll_interval.min(settings.drain_grace),
         // The conversion from `WireSettings` leaves this field at its default, because connections in the
         // simulator open or fail immediately.
@@ -231,8 +246,8 @@
     }
 }
 
-/// Derives a seed from a text. A hexadecimal number, as the deployment writes it, is used by value. Any other
-/// text is hashed.
+/// Derives a seed from a text. The deployment writes seeds as hexadecimal numbers, whose value is used. Any
+/// other text is hashed.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_name(text))
 }
--- a/crates/balancer-agent/src/framing.rs
+++ b/crates/balancer-agent/src/framing.rs
@@ -1,15 +1,16 @@
-//! Finds the boundaries of each request on a client connection before hyper parses the request.
+//! The framing of requests: finds the boundaries of each request on a client connection before hyper parses
+//! the request.
 //!
 //! hyper alone does not suffice, for two reasons:
 //!
 //! - hyper drops a `Content-Length` beside a `Transfer-Encoding` and merges equal `Content-Length` headers.
-//!   The parsed request then no longer shows that its body length was ambiguous, so that another HTTP
-//!   implementation may find a different end of the request.
+//!   The parsed request then no longer shows that its body length was ambiguous. Another HTTP implementation
+//!   may find a different end of such a request, so the agent must reject it.
 //! - hyper reads ahead. An idle connection then cannot be distinguished from one with a partly received
 //!   request.
 //!
-//! [`ClientStream`] gives hyper one complete head, then as many body bytes as the head announces. It holds
-//! back the bytes of the next request until the response to the current one has been written.
+//! [`ClientStream`] gives hyper one complete head and then the bytes of the body. The stream holds back the
+//! bytes of the next request until the response to the current one has been written.
 
 mod client_stream;
 mod connection_state;
--- a/crates/balancer-agent/src/framing/client_stream.rs
+++ b/crates/balancer-agent/src/framing/client_stream.rs
@@ -12,7 +12,7 @@
 
 /// The size of the buffer for one read from the socket, in bytes.
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// The maximum number of bytes that are read and discarded after the last response. After that many the
+/// The maximum number of bytes that are read and discarded after the last response. After this number, the
 /// connection is closed even if the client still sends (docs/findings/closes.md).
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
@@ -42,20 +42,23 @@
         }
     }
 
-    /// Sets `TCP_NODELAY`, because bytes that wait in the socket are lost if the connection is reset.
+    /// Sets `TCP_NODELAY` if it is not set yet. Without the option, bytes may wait in the socket, and such
+    /// bytes are lost if the connection is reset.
     ///
-    /// Setting the option may fail on a connection that has just been accepted and succeed a moment later, so
-    /// it is retried before each write until it succeeds. Failures are ignored: without the option, responses
-    /// are sent later, but they are sent (docs/findings/closes.md).
+    /// Setting the option may fail on a connection that has just been accepted and succeed a moment later.
+    /// This function is therefore called before each write. Failures are ignored, because without the option
+    /// responses are sent later, but they are sent (docs/findings/closes.md).
     fn set_nodelay(&mut self) {
         if !self.is_nodelay_set {
             self.is_nodelay_set = self.io.inner().set_nodelay(true).is_ok();
         }
     }
 
-    /// Reads bytes from the socket into the framer. Returns `false` at the end of the stream. Bytes that the
-    /// framer drops are read too, because the end of the stream can be detected only after them.
-    fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
+    /// Reads bytes from the socket into the framer. Returns `false` at the end of the stream.
+    ///
+    /// The stream also reads bytes that the framer drops, because the end of the stream can be detected only
+    /// after them.
+    fn poll_fill_framer(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if self.is_at_end {
             return Poll::Ready(Ok(false));
         }
@@ -81,8 +84,10 @@
     }
 
     /// Reads and discards bytes after the last response, until the client closes the connection or
-    /// [`MAX_DISCARDED_BYTES`] have been discarded. Closing a socket with unread bytes would reset the
-    /// connection, and the client would lose the part of the response that it has not received.
+    /// [`MAX_DISCARDED_BYTES`] have been discarded.
+    ///
+    /// Closing a socket with unread bytes would reset the connection, and the client would lose the part of
+    /// the response that it has not received.
     fn poll_discard_until_end(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut bytes = [0; READ_BUFFER_BYTES];
         while !self.is_at_end && self.discarded_bytes < MAX_DISCARDED_BYTES {
@@ -113,7 +118,7 @@
             if this.framer.is_closed() {
                 return Poll::Pending;
             }
-            match this.poll_fill(cx) {
+            match this.poll_fill_framer(cx) {
                 Poll::Ready(Ok(true)) => {}
                 // hyper gets the end of the stream even if the framer buffers bytes of the next request.
                 Poll::Ready(Ok(false)) => return Poll::Ready(Ok(())),
--- a/crates/balancer-agent/src/framing/connection_state.rs
+++ b/crates/balancer-agent/src/framing/connection_state.rs
@@ -1,5 +1,5 @@
-//! The state machine of a client connection. The connection's [`ClientStream`](super::ClientStream) and the
-//! task that serves the connection share it.
+//! The state machine of a client connection, which the connection's [`ClientStream`](super::ClientStream) and
+//! the task that serves the connection share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,9 +13,9 @@
     Silent,
     /// A part of a request has been received.
     Receiving,
-    /// A request has been received completely, and its response is pending.
+    /// A request has been received completely, and its response is not known yet.
     Processing,
-    /// The response is known and has not been written completely.
+    /// The response to the current request is known and has not been written completely.
     Responding,
     /// The responses to all requests have been written, and no byte of another request has been read.
     Idle,
@@ -23,16 +23,16 @@
     Closing,
 }
 
-/// Why no further request can be read from a connection.
+/// The reason why no further request can be read from a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingFault {
     /// The body length of the current request is ambiguous, so that its end is unknown.
     AmbiguousLength,
-    /// More bytes followed the current request than the framer buffers, and some were dropped.
+    /// More bytes than the framer buffers followed the current request, so some of them were dropped.
     ExcessBytes,
 }
 
-/// The progress of the last response on a connection.
+/// Whether a response has been written on a connection, and whether hyper has read the stream since.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LastResponse {
     /// No response has been written on the connection yet.
@@ -50,7 +50,7 @@
     phase_since: Cell<Instant>,
     last_response: Cell<LastResponse>,
     framing_fault: Cell<Option<FramingFault>>,
-    /// Wakes the reader that waits for the current response to be written before it reads the next request.
+    /// The waker of the reader, which reads the next request once the current response has been written.
     waiting_reader: RefCell<Option<Waker>>,
 }
 
@@ -71,7 +71,7 @@
         self.phase.get()
     }
 
-    /// Returns when the current phase began.
+    /// Returns the time at which the current phase began.
     pub fn phase_since(&self) -> Instant {
         self.phase_since.get()
     }
@@ -81,12 +81,12 @@
         self.last_response.get() != LastResponse::None
     }
 
-    /// Returns why no further request can be read, or `None` if the next request can be read.
+    /// Returns the reason why no further request can be read, or `None` if the next request can be read.
     pub fn framing_fault(&self) -> Option<FramingFault> {
         self.framing_fault.get()
     }
 
-    /// Records that a part of a request has been received.
+    /// Records that bytes of a request have been received.
     pub fn record_request_bytes(&self) {
         match self.phase.get() {
             Phase::Silent | Phase::Idle => self.enter(Phase::Receiving),
@@ -117,8 +117,8 @@
         self.enter(Phase::Responding);
     }
 
-    /// Records that all output so far has been written. If the output includes the response, the connection
-    /// becomes idle and its reader is woken.
+    /// Records that all output so far has been written to the socket. If the current response is part of the
+    /// output, the connection becomes idle and its reader is woken.
     pub fn record_flush(&self) {
         if self.phase.get() != Phase::Responding {
             return;
@@ -141,9 +141,11 @@
         is_written
     }
 
-    /// Records that the agent has shut down its sending side. Returns whether this directly follows a
-    /// response, which the client may not have received yet. If hyper has read the stream since the response,
-    /// the connection was idle, and the client counts as having received the response.
+    /// Records that the agent has shut down its sending side. Returns whether the client may not have
+    /// received the last response yet.
+    ///
+    /// If hyper has read the stream since that response, the connection was idle, and the client counts as
+    /// having received the response.
     pub fn record_write_shutdown(&self) -> bool {
         let is_after_response = self.last_response.get() == LastResponse::Written;
         if is_after_response && self.phase.get() != Phase::Closing {
--- a/crates/balancer-agent/src/framing/parser.rs
+++ b/crates/balancer-agent/src/framing/parser.rs
@@ -5,44 +5,44 @@
 /// The maximum number of header lines in a head, which is also hyper's limit.
 const MAX_HEADERS: usize = 100;
 
-/// The result of parsing a request's head. Lengths are in bytes.
+/// The result of parsing a request's head. Sizes are in bytes.
 #[derive(Debug, PartialEq)]
 pub enum Head {
-    /// More bytes are needed.
+    /// The head has not been received completely.
     Partial,
     /// The bytes are not a valid request head.
     Invalid,
     /// The body's length is ambiguous: the headers state it more than once, or in a form that is not
     /// supported.
     Ambiguous {
-        /// The length of the head.
-        head: usize,
+        /// The size of the head.
+        head_size: usize,
     },
-    /// A body of a known length follows. The length may be 0.
+    /// A body of a known size follows. The size may be 0.
     Sized {
-        /// The length of the head.
-        head: usize,
-        /// The length of the body.
-        body: u64,
+        /// The size of the head.
+        head_size: usize,
+        /// The size of the body.
+        body_size: u64,
     },
     /// A chunked body follows.
     Chunked {
-        /// The length of the head.
-        head: usize,
+        /// The size of the head.
+        head_size: usize,
     },
 }
 
-/// The result of parsing a chunk header. Lengths are in bytes.
+/// The result of parsing a chunk header. Sizes are in bytes.
 #[derive(Debug, PartialEq)]
 pub enum ChunkHeader {
-    /// More bytes are needed.
+    /// The chunk header, or the trailers after the last chunk header, have not been received completely.
     Partial,
     /// The bytes are not a valid chunk header, or invalid trailers follow the header of the last chunk.
     Invalid,
-    /// A chunk follows. The value is the length of the chunk header, the chunk's data and the line end after
-    /// the data.
+    /// A chunk that is not the last one. The value is the total size of the chunk header, the data and the
+    /// line end after the data.
     Sized(u64),
-    /// The last chunk, which has no data. The value is the length of the chunk header and the trailers.
+    /// The last chunk, which has no data. The value is the total size of the chunk header and the trailers.
     Last(usize),
 }
 
@@ -50,21 +50,21 @@
 pub fn parse_head(bytes: &[u8]) -> Head {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let head = match request.parse(bytes) {
-        Ok(httparse::Status::Complete(head)) => head,
+    let head_size = match request.parse(bytes) {
+        Ok(httparse::Status::Complete(head_size)) => head_size,
         Ok(httparse::Status::Partial) => return Head::Partial,
         Err(_) => return Head::Invalid,
     };
     let content_lengths = header_values(request.headers, "content-length");
     let transfer_encodings = header_values(request.headers, "transfer-encoding");
     match (content_lengths.as_slice(), transfer_encodings.as_slice()) {
-        ([], []) => Head::Sized { head, body: 0 },
+        ([], []) => Head::Sized { head_size, body_size: 0 },
         ([length], []) => match parse_length(length) {
-            Some(body) => Head::Sized { head, body },
-            None => Head::Ambiguous { head },
+            Some(body_size) => Head::Sized { head_size, body_size },
+            None => Head::Ambiguous { head_size },
         },
-        ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") => Head::Chunked { head },
-        _ => Head::Ambiguous { head },
+        ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") => Head::Chunked { head_size },
+        _ => Head::Ambiguous { head_size },
     }
 }
 
@@ -77,28 +77,29 @@
 /// Parses the chunk header at the start of the bytes, and the trailers if the chunk is the last one.
 pub fn parse_chunk_header(bytes: &[u8]) -> ChunkHeader {
     match httparse::parse_chunk_size(bytes) {
-        Ok(httparse::Status::Complete((header, 0))) => parse_trailers(&bytes[header..], header),
-        Ok(httparse::Status::Complete((header, size))) => {
-            let framing_length = (header + "\r\n".len()) as u64;
-            size.checked_add(framing_length).map_or(ChunkHeader::Invalid, ChunkHeader::Sized)
+        Ok(httparse::Status::Complete((header_end, 0))) => parse_trailers(&bytes[header_end..], header_end),
+        Ok(httparse::Status::Complete((header_end, data_size))) => {
+            let framing_size = (header_end + "\r\n".len()) as u64;
+            data_size.checked_add(framing_size).map_or(ChunkHeader::Invalid, ChunkHeader::Sized)
         }
         Ok(httparse::Status::Partial) => ChunkHeader::Partial,
         Err(_) => ChunkHeader::Invalid,
     }
 }
 
-/// Parses the trailers after the last chunk header, whose length is `last_header`.
-fn parse_trailers(bytes: &[u8], last_header: usize) -> ChunkHeader {
+/// Parses the trailers at the start of the bytes. `header_end` is the end of the last chunk header, which the
+/// trailers follow.
+fn parse_trailers(bytes: &[u8], header_end: usize) -> ChunkHeader {
     let mut trailers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     match httparse::parse_headers(bytes, &mut trailers) {
-        Ok(httparse::Status::Complete((end, _))) => ChunkHeader::Last(last_header + end),
+        Ok(httparse::Status::Complete((trailers_size, _))) => ChunkHeader::Last(header_end + trailers_size),
         Ok(httparse::Status::Partial) => ChunkHeader::Partial,
         Err(_) => ChunkHeader::Invalid,
     }
 }
 
-/// Parses the value of a `Content-Length` header. Returns `None` unless it consists of digits only: signs,
-/// lists and blanks are not accepted.
+/// Parses the value of a `Content-Length` header. Returns `None` if the value is too large or does not
+/// consist of digits only. Signs, lists and blanks are not accepted.
 fn parse_length(value: &[u8]) -> Option<u64> {
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     if !is_number {
--- a/crates/balancer-agent/src/framing/parser/tests.rs
+++ b/crates/balancer-agent/src/framing/parser/tests.rs
@@ -25,8 +25,8 @@
         "Transfer-Encoding: gzip, chunked\r\n",
         "Transfer-Encoding: identity\r\n",
     ] {
-        let head = "POST /pay HTTP/1.1\r\n\r\n".len() + header_lines.len();
-        assert_eq!(parse_with(header_lines), Head::Ambiguous { head }, "{header_lines}");
+        let head_size = "POST /pay HTTP/1.1\r\n\r\n".len() + header_lines.len();
+        assert_eq!(parse_with(header_lines), Head::Ambiguous { head_size }, "{header_lines}");
     }
 }
 
@@ -46,9 +46,9 @@
 
 #[test]
 fn unambiguous_lengths_are_parsed() {
-    assert_eq!(parse_with("Content-Length: 4\r\n"), Head::Sized { head: 41, body: 4 });
-    assert_eq!(parse_with("A: b\r\n"), Head::Sized { head: 28, body: 0 });
-    assert_eq!(parse_with("transfer-encoding: Chunked\r\n"), Head::Chunked { head: 50 });
+    assert_eq!(parse_with("Content-Length: 4\r\n"), Head::Sized { head_size: 41, body_size: 4 });
+    assert_eq!(parse_with("A: b\r\n"), Head::Sized { head_size: 28, body_size: 0 });
+    assert_eq!(parse_with("transfer-encoding: Chunked\r\n"), Head::Chunked { head_size: 50 });
     assert_eq!(parse_head(b"POST /pay HTTP/1.1\r\nContent-Le"), Head::Partial);
     assert_eq!(parse_head(b"\0\x01\x02"), Head::Invalid);
 }
--- a/crates/balancer-agent/src/framing/request_framer.rs
+++ b/crates/balancer-agent/src/framing/request_framer.rs
@@ -1,4 +1,4 @@
-//! Splits the bytes that are received on a connection into requests, without I/O.
+//! The framer, which splits the bytes that are received on a connection into requests, without I/O.
 //!
 //! The framer buffers received bytes and releases them to the reader once they are known to belong to the
 //! current request.
@@ -25,10 +25,10 @@
     Closed,
 }
 
-/// Buffers the bytes of a connection and releases them one request at a time.
+/// A buffer for the bytes of a connection, which releases them one request at a time.
 pub struct RequestFramer {
     progress: Progress,
-    /// The bytes that have been received and not consumed.
+    /// The bytes that have been received and that the reader has not consumed.
     buffer: BytesMut,
     /// The number of released bytes at the front of the buffer.
     released: usize,
@@ -82,9 +82,10 @@
         self.released -= length;
     }
 
-    /// Expects the next head, after the response to the current request has been written. If the current
-    /// request has not been received completely, the beginning of the next one is unknown, and the framer
-    /// releases no further bytes.
+    /// Expects the head of the next request, after the response to the current one has been written.
+    ///
+    /// If the current request has not been released completely or a framing fault has been recorded, the
+    /// beginning of the next request is unknown. The framer then releases no further bytes.
     pub fn start_next_request(&mut self, connection: &ConnectionState) {
         let is_at_end = matches!(self.progress, Progress::Complete | Progress::Head);
         let can_continue = is_at_end && connection.framing_fault().is_none();
@@ -92,7 +93,7 @@
         self.parsed_length = 0;
     }
 
-    /// Parses the buffer as a head. Returns whether bytes have been released.
+    /// Parses the head at the start of the buffer. Returns whether bytes have been released.
     fn advance_head(&mut self, connection: &ConnectionState) -> bool {
         let length = self.buffer.len();
         if length == 0 {
@@ -107,22 +108,22 @@
             Head::Partial if length < MAX_HEAD_BYTES => return false,
             // hyper responds to an invalid or too long head with an error and closes the connection.
             Head::Partial | Head::Invalid => self.release(length, Progress::Closed),
-            Head::Ambiguous { head } => {
+            Head::Ambiguous { head_size } => {
                 connection.record_ambiguous_length();
-                self.release(head, Progress::Closed);
+                self.release(head_size, Progress::Closed);
             }
-            Head::Sized { head, body: 0 } => {
-                self.release(head, Progress::Complete);
+            Head::Sized { head_size, body_size: 0 } => {
+                self.release(head_size, Progress::Complete);
                 connection.record_request_complete();
             }
-            Head::Sized { head, body } => self.release(head, Progress::Body(body)),
-            Head::Chunked { head } => self.release(head, Progress::ChunkHeader),
+            Head::Sized { head_size, body_size } => self.release(head_size, Progress::Body(body_size)),
+            Head::Chunked { head_size } => self.release(head_size, Progress::ChunkHeader),
         }
         true
     }
 
-    /// Parses the buffer as a chunk header, or as the last chunk header and the trailers. Returns `false` if
-    /// more bytes must be received first.
+    /// Parses the chunk header at the start of the buffer, and the trailers if the chunk is the last one.
+    /// Returns `false` if more bytes must be received first.
     fn advance_chunk_header(&mut self, connection: &ConnectionState) -> bool {
         match parse_chunk_header(&self.buffer) {
             ChunkHeader::Partial if self.buffer.len() < MAX_HEAD_BYTES => return false,
@@ -156,13 +157,13 @@
         self.released > 0
     }
 
-    /// Releases `length` bytes, after which `next` follows.
+    /// Releases the first `length` bytes of the buffer. `next` is the progress after that.
     fn release(&mut self, length: usize, next: Progress) {
         self.released = length;
         self.progress = next;
     }
 
-    /// Releases at most `length` buffered bytes. Returns how many of the `length` bytes are left to release.
+    /// Releases at most `length` buffered bytes. Returns how many of these bytes are left to release.
     fn release_up_to(&mut self, length: u64) -> u64 {
         self.released = length.min(self.buffer.len() as u64) as usize;
         length - self.released as u64
--- a/crates/balancer-agent/src/headers.rs
+++ b/crates/balancer-agent/src/headers.rs
@@ -1,4 +1,4 @@
-//! Selects the headers of a client's request that are forwarded to a server.
+//! The selection of the headers of a client's request that are forwarded to servers.
 
 use hyper::header::HeaderMap;
 
--- a/crates/balancer-agent/src/request.rs
+++ b/crates/balancer-agent/src/request.rs
@@ -21,13 +21,14 @@
     pub class: ClassId,
     /// The tenant that sent the request, if the settings have tenants.
     pub tenant: Option<TenantId>,
-    /// The key of the object that the request is about, if the request's query names one.
+    /// The key of the object that the request concerns, if the request's query contains one.
     pub routing_key: Option<RoutingKey>,
     /// The client's estimate of the request's work, as the time that one core needs for it.
     pub cost_hint: Option<Span>,
-    /// Whether the client marked the request as the client's own retry.
+    /// Whether the client marked the request as a retry of its own.
     pub is_client_retry: bool,
-    /// When the final response must be known, so that it is written before the client stops waiting.
+    /// When the final response must be known. The rest of the client's timeout is reserved for writing the
+    /// response.
     pub deadline: Instant,
 }
 
@@ -50,7 +51,7 @@
 pub struct SubmittedRequest {
     /// The id that the driver assigned to the request.
     pub id: RequestId,
-    /// Receives the final response.
+    /// The receiver of the final response.
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
@@ -60,7 +61,7 @@
     Served(ServedResponse),
     /// The balancer has rejected the request. The request was not processed and may be retried.
     Rejected {
-        /// The time after which a retry makes sense, if the settings allow the agent to state it.
+        /// The delay after which the client should retry; `None` if there is no advice for the client.
         retry_after: Option<Span>,
     },
     /// The request has failed with this status. A server may have processed it.
