--- a/crates/balancer-agent/src/framing/client_stream.rs
+++ b/crates/balancer-agent/src/framing/client_stream.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sets `TCP_NODELAY` if it is not set yet. Without the option, bytes may wait in the socket, and such
+    /// Sets `TCP_NODELAY` if it is not set yet. Without the option, bytes may wait in the socket, and these
     /// bytes are lost if the connection is reset.
     ///
     /// Setting the option may fail on a connection that has just been accepted and succeed a moment later.
--- a/crates/balancer-agent/src/listener.rs
+++ b/crates/balancer-agent/src/listener.rs
@@ -108,7 +108,8 @@
         connection: Rc<ConnectionState>,
     ) -> Result<ClientResponse, Infallible> {
         let result = self.request_handler.handle(request, &connection, &self.shutdown).await;
-        // The bytes after an invalid request may not begin with a request, so they must not be parsed as one.
+        // The bytes after an invalid request might not be the beginning of another one, so they must not be
+        // parsed.
         let is_last = result.is_err() || self.is_last_response(&connection);
         let mut response = result.unwrap_or_else(ClientResponse::from);
         if is_last {
--- a/crates/balancer-agent/src/listener/client_connection.rs
+++ b/crates/balancer-agent/src/listener/client_connection.rs
@@ -38,7 +38,7 @@
 pub struct ClientConnection {
     id: ConnectionId,
     state: Rc<ConnectionState>,
-    /// The notification of the task that serves the connection that an eviction has been requested.
+    /// The signal that an eviction has been requested, for the task that serves the connection.
     eviction_requested: Notify,
 }
 
@@ -53,14 +53,14 @@
         self.id
     }
 
-    /// Returns the state that the connection's stream and the time limits share.
+    /// Returns the connection's state in the exchange of requests and responses.
     pub fn state(&self) -> &Rc<ConnectionState> {
         &self.state
     }
 
     /// Requests the eviction of the connection. The task that serves the connection then closes it, unless at
     /// least a part of a request has been received by then.
-    pub fn evict(&self) {
+    pub fn request_eviction(&self) {
         self.eviction_requested.notify_one();
     }
 
--- a/crates/balancer-agent/src/listener/connection_table.rs
+++ b/crates/balancer-agent/src/listener/connection_table.rs
@@ -22,8 +22,8 @@
     max_connections: usize,
     next_id: Cell<ConnectionId>,
     connections: RefCell<HashMap<ConnectionId, Rc<ClientConnection>>>,
-    /// The notification that a connection has been closed. At most one task waits for it at a time: the
-    /// accept loop for a free slot, or afterwards the shutdown for the close of all connections.
+    /// The signal that a connection has been closed. At most one task waits for it at a time: the accept loop
+    /// for a free slot, or afterwards the shutdown for the close of all connections.
     connection_closed: Notify,
 }
 
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Evicts the evictable connection with the lowest [`EvictionRank`], if there is one. The close of this
-    /// connection costs its client least.
+    /// Requests the eviction of the evictable connection with the lowest [`EvictionRank`], if there is one.
+    /// The close of this connection costs its client least.
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let evictable = connections.values().filter(|connection| is_evictable(connection.state()));
         if let Some(connection) = evictable.min_by_key(|connection| EvictionRank::of(connection.state())) {
-            connection.evict();
+            connection.request_eviction();
         }
     }
 }
--- a/crates/balancer-agent/src/listener/slot_usage.rs
+++ b/crates/balancer-agent/src/listener/slot_usage.rs
@@ -1,8 +1,8 @@
 //! The usage of the slots for client connections.
 
-/// The minimum fraction of slots in use at which usage is elevated. A client may hold a limited number of
-/// connections and counts those that it has abandoned. Connections therefore become scarce well before all
-/// slots are in use.
+/// The minimum fraction of slots in use at which usage is elevated. The number of connections that a client
+/// may hold is limited and includes connections that the client has abandoned. Connections therefore become
+/// scarce well before all slots are in use.
 const MIN_ELEVATED_USAGE_FRACTION: f64 = 0.25;
 /// The minimum fraction of slots in use at which usage is high. Closing idle connections is not enough then:
 /// clients that send one request per connection and keep the connection open reach the number of connections
--- a/crates/balancer-agent/src/listener/tests.rs
+++ b/crates/balancer-agent/src/listener/tests.rs
@@ -202,7 +202,7 @@
         assert!(connection.poll_once().await);
 
         connection.send(REQUEST).await;
-        connection.table_entry.evict();
+        connection.table_entry.request_eviction();
         sleep(SOCKET_POLL_TIME).await;
 
         assert!(connection.poll_once().await, "the connection is closed");
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -15,9 +15,11 @@
 /// The time within which a request must be received completely.
 ///
 /// The time counts from the accept for the first request of a connection, and from the first byte of the
-/// request for later ones (docs/findings/late-request-cut-off.md). Connections without a complete request
-/// occupy slots that other clients need. The agent must respond on such a connection or close it within 3 s
-/// (TERMS page, "Peers").
+/// request for later ones (docs/findings/late-request-cut-off.md). If a connection had to wait for a slot
+/// after its accept, the time counts from the end of that wait.
+///
+/// Connections without a complete request occupy slots that other clients need. The agent must respond on
+/// such a connection or close it within 3 s (TERMS page, "Peers").
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// How long a connection may be idle at low slot usage.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
@@ -32,8 +34,8 @@
 }
 
 impl TimeLimits {
-    /// Creates the limits of a connection that is accepted now. `longest_timeout` is the longest that clients
-    /// wait for a response.
+    /// Creates the limits of a connection that has just been accepted. `longest_timeout` is the longest that
+    /// clients wait for a response.
     pub fn starting_now(longest_timeout: Duration) -> Self {
         TimeLimits { accepted_at: Instant::now(), longest_timeout }
     }
--- a/crates/balancer-agent/src/listener/validation.rs
+++ b/crates/balancer-agent/src/listener/validation.rs
@@ -35,7 +35,7 @@
 /// The prefix of the query parameter with a request's routing key.
 const ROUTING_KEY_PREFIX: &str = "key=";
 /// The maximum length of a request's id, in bytes.
-const MAX_ID_BYTES: usize = 256;
+const MAX_REQUEST_ID_BYTES: usize = 256;
 /// The time that is reserved for writing the response, at the end of a client's timeout. Less time is
 /// reserved if the timeout is short; see [`RESPONSE_WRITE_DIVISOR`].
 const RESPONSE_WRITE_TIME: Duration = Duration::from_millis(6);
@@ -89,7 +89,7 @@
 /// Checks that the request has an id of a valid length.
 fn check_request_id(head: &Parts) -> Result<(), InvalidRequest> {
     let id = header_text(&head.headers, REQUEST_ID_HEADER).unwrap_or_default();
-    if id.is_empty() || id.len() > MAX_ID_BYTES {
+    if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES {
         return Err(InvalidRequest::BadRequestId);
     }
     Ok(())
