--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tests of admission control: what lowers and what raises the fraction of requests that are sent.
+//! Tests of admission control: what lowers and what raises the admission probability.
 
 mod common;
 
@@ -12,8 +12,8 @@
     Harness::with_endpoints(sparse_settings(), seed, fleet(server_count))
 }
 
-/// In a sparse view each balancer sends a server one request in many seconds, so concurrency limits have no
-/// effect. Without admission control, an overload of the whole fleet would never end.
+/// In a sparse view each balancer sends a server only one request in many seconds, so concurrency limits have
+/// no effect. Without admission control, an overload of the whole fleet would never end.
 #[test]
 fn overloaded_fleet_is_sent_little_until_it_recovers() {
     let mut harness = sparse_harness(4, 50);
@@ -46,8 +46,8 @@
     }
 }
 
-/// A rejection by a single server with a short queue is no sign of an overload of the fleet. The request is
-/// retried at another server.
+/// Occasional rejections show that some servers have short queues, not that the fleet is overloaded. The
+/// rejected requests are retried at other servers. In this test a fifth of the servers reject all attempts.
 #[test]
 fn single_rejections_do_not_lower_admission() {
     let mut harness = sparse_harness(5, 50);
@@ -61,8 +61,9 @@
     assert!(sent_count > 90, "{sent_count} of 100 sent");
 }
 
-/// Rejections are the first sign of an overload and come seconds before late responses. If only the second
-/// rejection of the same request counted, admission would be lowered too late to keep the servers fast.
+/// Frequent rejections are the first sign of an overload and come seconds before late responses. If only the
+/// second rejection of the same request counted, admission would be lowered too late to keep the servers
+/// fast.
 #[test]
 fn frequent_rejections_lower_admission() {
     let mut harness = sparse_harness(8, 50);
@@ -93,7 +94,7 @@
     assert!(sent_count < 40, "{sent_count} of 100 sent to slow servers");
 }
 
-/// If an attempt counted as slow only when its response arrives, the overload would grow until then.
+/// If an attempt counted as slow only when its response arrives, an overload would grow until then.
 #[test]
 fn attempt_counts_as_slow_after_half_the_latency_objective() {
     let mut harness = sparse_harness(15, 50);
@@ -110,7 +111,7 @@
 /// load of the whole fleet until their responses showed the overload, and would stay slow for a long time. A
 /// fleet that returns, even after an empty list, is sent as many requests as before.
 #[test]
-fn shrunken_fleet_is_sent_less_immediately() {
+fn admission_falls_as_soon_as_the_fleet_shrinks() {
     let mut harness = sparse_harness(17, 100);
     serve_successfully(&mut harness, 100, 20.0);
 
--- a/crates/balancer-core/tests/common/effect_rule.rs
+++ b/crates/balancer-core/tests/common/effect_rule.rs
@@ -1,5 +1,5 @@
-//! The retries and final responses that are allowed after an attempt that may have run. They depend on the
-//! effect of the request's class.
+//! The retries and rejections that are allowed after an attempt that may have run, which depend on the effect
+//! of the request's class.
 
 use super::observed_request::{ObservedAttempt, ObservedRequest};
 use balancer_core::{CellId, DedupScope, Effect, Endpoint, Time, ZoneId};
--- a/crates/balancer-core/tests/common/harness.rs
+++ b/crates/balancer-core/tests/common/harness.rs
@@ -69,7 +69,7 @@
     /// The number of requests.
     pub request_count: u32,
     /// The time from the end of one request to the next request.
-    pub pause_ms: f64,
+    pub gap_ms: f64,
 }
 
 /// A balancer with a simulated clock, the balancer's timers and a rule checker.
@@ -87,7 +87,8 @@
     timers: BTreeSet<(Time, TimerId)>,
     /// The id of the next request that is submitted.
     next_request: u64,
-    /// The largest number of endpoints in a list so far. The servers of a test are numbered from 0.
+    /// The largest number of endpoints in a list so far. The servers are numbered from 0, so their numbers
+    /// are less than this.
     server_count: usize,
 }
 
@@ -117,7 +118,8 @@
         harness
     }
 
-    /// Checks the actions against the rules, sets their timers and stores them in `actions`.
+    /// Checks the actions against the rules, sets the timers that they request, and stores the actions in
+    /// `self.actions`.
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in &actions {
             self.rule_checker.check_action(self.now, action);
@@ -198,8 +200,8 @@
         }
     }
 
-    /// Submits a request of class 0 and ends its first attempt with success, if it is sent within
-    /// `elapsed_ms`. Returns the server that it was sent to.
+    /// Submits a request of class 0 and advances the clock by `elapsed_ms`. Ends the first attempt of the
+    /// request with success if the attempt was sent in this time. Returns the server of the attempt.
     pub fn submit_and_succeed(&mut self, elapsed_ms: f64) -> Option<ServerId> {
         let request = self.submit_request();
         let server = request.server.or(find_target(&self.advance_ms(elapsed_ms), request.id));
@@ -229,7 +231,7 @@
                 target = self.target_of(request.id);
                 attempt.0 += 1;
             }
-            self.advance_ms(load.pause_ms);
+            self.advance_ms(load.gap_ms);
         }
         attempts_by_server
     }
@@ -239,12 +241,13 @@
         find_target(&self.actions, id)
     }
 
-    /// Ends the first attempt of a request with success.
+    /// Ends the first attempt of a request with success, and returns the balancer's actions.
     pub fn succeed(&mut self, id: RequestId, elapsed_ms: f64) -> &[Action] {
         self.end_attempt(id, FIRST_ATTEMPT, Outcome::Success, elapsed_ms)
     }
 
-    /// Ends an attempt without a load report. A success finishes the request.
+    /// Ends an attempt without a load report, and returns the balancer's actions. A success finishes the
+    /// request.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -255,7 +258,8 @@
         self.end_attempt_with_report(id, attempt, Response { outcome, elapsed_ms }, None)
     }
 
-    /// Ends an attempt with or without a load report. A success finishes the request.
+    /// Ends an attempt with or without a load report, and returns the balancer's actions. A success finishes
+    /// the request.
     pub fn end_attempt_with_report(
         &mut self,
         request: RequestId,
--- a/crates/balancer-core/tests/common/mod.rs
+++ b/crates/balancer-core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Support code of the integration tests: a harness that runs a balancer, a checker of the rules that the
-//! balancer must keep, and fixtures.
+//! Support code of the integration tests: a harness that runs a balancer, a checker for the rules that a
+//! balancer must follow, and fixtures.
 #![allow(dead_code, unused_imports, reason = "each test file uses only some of these items")]
 
 mod actions;
--- a/crates/balancer-core/tests/common/observed_request.rs
+++ b/crates/balancer-core/tests/common/observed_request.rs
@@ -45,7 +45,7 @@
     pub attempts: Vec<ObservedAttempt>,
     /// Whether the request needs no final response any more: it has had one, or its client has disconnected.
     pub is_finished: bool,
-    /// Whether the response has begun to stream. After that, the request cannot be sent again.
+    /// Whether the response has begun to stream. The request must not be sent again after that.
     pub is_streaming: bool,
 }
 
@@ -85,7 +85,8 @@
         now > self.deadline + FINAL_RESPONSE_GRACE
     }
 
-    /// Returns whether the request has had no final response and it is too late for one.
+    /// Returns whether the request has had no final response and it is too late for one. A request whose
+    /// response has begun to stream is not lost.
     pub fn is_lost(&self, now: Time) -> bool {
         !self.is_finished && !self.is_streaming && self.is_overdue(now)
     }
--- a/crates/balancer-core/tests/common/rule.rs
+++ b/crates/balancer-core/tests/common/rule.rs
@@ -1,4 +1,4 @@
-//! The rules that a balancer must keep, and their violations.
+//! The rules that a balancer must follow, and their violations.
 
 use balancer_core::Time;
 
@@ -9,8 +9,8 @@
     KnownServer,
     /// Only requests that have been submitted are sent, rejected or failed.
     KnownRequest,
-    /// A request is not sent after it is finished.
-    NoSendAfterTheEnd,
+    /// A request is not sent after its final response or after its client has disconnected.
+    NoSendAfterFinalResponse,
     /// A request is not sent again after its response has begun to stream.
     NoSendWhileStreaming,
     /// A request has no more attempts than the settings allow.
@@ -27,10 +27,10 @@
     NoSendToDrainingServer,
     /// A request that may have run is not rejected, unless its effect allows that.
     NoRejectionAfterItMayHaveRun,
-    /// A request gets only one final response.
-    OneEnd,
-    /// A request gets its final response by its client's deadline.
-    EndInTime,
+    /// A request gets at most one final response.
+    OneFinalResponse,
+    /// A request gets its final response by its client's deadline, or a short grace period later.
+    FinalResponseInTime,
     /// A server that is warming up is not sent so much work that it would fail.
     SlowStart,
 }
--- a/crates/balancer-core/tests/common/rule_checker.rs
+++ b/crates/balancer-core/tests/common/rule_checker.rs
@@ -1,6 +1,8 @@
-//! Checks a balancer's actions against the rules of [`Rule`], independently of how the balancer decides. The
-//! rules require that each request gets one final response in time, that no effect is duplicated, that
-//! draining servers are sent nothing, and that servers that are warming up are not overloaded.
+//! Checks that a balancer's actions violate no [`Rule`], independently of how the balancer decides.
+//!
+//! The rules require that each request gets one final response in time, that no effect is duplicated, that
+//! draining servers are sent nothing after the drain grace, and that servers that are warming up are not
+//! overloaded.
 
 use super::effect_rule::{may_reject, AllowedTargets};
 use super::observed_fleet::ObservedFleet;
@@ -17,7 +19,7 @@
     timeout_at: Time,
 }
 
-/// Observes the events and actions of a balancer and records all violations of rules.
+/// A checker that observes the events and actions of a balancer and records all violations of rules.
 pub struct RuleChecker {
     /// All violations so far.
     pub violations: Vec<Violation>,
@@ -88,22 +90,22 @@
     }
 
     /// Records a violation.
-    fn report_violation(&mut self, at: Time, rule: Rule, details: String) {
+    fn record_violation(&mut self, at: Time, rule: Rule, details: String) {
         self.violations.push(Violation { at, rule, details });
     }
 
     /// Checks an action that sends an attempt, and records the attempt.
     fn check_send(&mut self, now: Time, sent: &SentAttempt) {
         let Some(endpoint) = self.fleet.get(sent.server).cloned() else {
-            self.report_violation(now, Rule::KnownServer, format!("sent to {:?}", sent.server));
+            self.record_violation(now, Rule::KnownServer, format!("sent to {:?}", sent.server));
             return;
         };
         let Some(request) = self.requests.get(&sent.request) else {
-            self.report_violation(now, Rule::KnownRequest, format!("sent {:?}", sent.request));
+            self.record_violation(now, Rule::KnownRequest, format!("sent {:?}", sent.request));
             return;
         };
         for rule in self.find_violated_rules(now, sent, request, &endpoint) {
-            self.report_violation(now, rule, format!("{:?} sent to {:?}", sent.request, sent.server));
+            self.record_violation(now, rule, format!("{:?} sent to {:?}", sent.request, sent.server));
         }
         self.record_attempt(now, sent.request, &endpoint);
         self.check_slow_start(now, sent.request, &endpoint);
@@ -117,15 +119,15 @@
         request: &ObservedRequest,
         endpoint: &Endpoint,
     ) -> Vec<Rule> {
-        let has_max_attempts = request.attempts.len() >= self.settings.max_attempts as usize;
+        let has_reached_max_attempts = request.attempts.len() >= self.settings.max_attempts as usize;
         let is_disallowed_hedge = request.has_attempt_in_flight() && !self.settings.allows_hedging;
         let is_past_deadline = now > request.deadline || sent.timeout_at > request.deadline;
         let allowed_targets = AllowedTargets::of(request, self.effect_of(request), now);
         let is_past_drain_grace = self.fleet.is_draining_beyond(sent.server, self.settings.drain_grace, now);
         let checks = [
-            (request.is_finished, Rule::NoSendAfterTheEnd),
+            (request.is_finished, Rule::NoSendAfterFinalResponse),
             (request.is_streaming, Rule::NoSendWhileStreaming),
-            (has_max_attempts, Rule::MaxAttempts),
+            (has_reached_max_attempts, Rule::MaxAttempts),
             (is_disallowed_hedge, Rule::NoHedgingUnlessAllowed),
             (is_past_deadline, Rule::NoSendPastDeadline),
             (allowed_targets == AllowedTargets::None, Rule::NoRetryAfterItMayHaveRun),
@@ -155,7 +157,7 @@
                 "{:?} was sent {} units of work, warm servers {:.1} on average",
                 endpoint.server, overload.sent_work, overload.mean_warm_work
             );
-            self.report_violation(now, Rule::SlowStart, details);
+            self.record_violation(now, Rule::SlowStart, details);
         }
     }
 
@@ -163,7 +165,7 @@
     fn check_rejection(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if !may_reject(request, self.effect_of(request)) {
-            self.report_violation(now, Rule::NoRejectionAfterItMayHaveRun, format!("{id:?} rejected"));
+            self.record_violation(now, Rule::NoRejectionAfterItMayHaveRun, format!("{id:?} rejected"));
         }
     }
 
@@ -171,14 +173,14 @@
     fn check_final_response(&mut self, now: Time, request: RequestId) {
         let violated = match self.requests.get_mut(&request) {
             None => Some(Rule::KnownRequest),
-            Some(observed) if observed.is_finished => Some(Rule::OneEnd),
+            Some(observed) if observed.is_finished => Some(Rule::OneFinalResponse),
             Some(observed) => {
                 observed.is_finished = true;
-                observed.is_overdue(now).then_some(Rule::EndInTime)
+                observed.is_overdue(now).then_some(Rule::FinalResponseInTime)
             }
         };
         if let Some(rule) = violated {
-            self.report_violation(now, rule, format!("final response to {request:?}"));
+            self.record_violation(now, rule, format!("final response to {request:?}"));
         }
     }
 
--- a/crates/balancer-core/tests/common/slow_start_checker.rs
+++ b/crates/balancer-core/tests/common/slow_start_checker.rs
@@ -1,5 +1,8 @@
-//! Checks the rule of slow start: within an overload window, a server that is warming up is sent at most its
-//! capacity share of the mean work of a warm server, times the overload factor.
+//! Checks the rule of slow start.
+//!
+//! The rule limits the work that a server is sent within an overload window while it is warming up. The limit
+//! is the mean work that a warm server is sent in the window, times the capacity share of the server that is
+//! warming up, times the overload factor. The server may exceed the limit by [`RANDOM_EXCESS_WORK`].
 
 use super::observed_fleet::ObservedFleet;
 use balancer_core::{Endpoint, ServerId, Settings, Time};
@@ -23,8 +26,8 @@
     pub mean_warm_work: f64,
 }
 
-/// Compares the work that was sent to servers that are warming up and to warm servers during the last
-/// overload window.
+/// A checker that compares the work that was sent to servers that are warming up with the work that was sent
+/// to warm servers, during the last overload window.
 pub struct SlowStartChecker {
     settings: Settings,
     /// The work of the attempts of the last overload window, in the order in which they were sent.
--- a/crates/balancer-core/tests/common/sparse.rs
+++ b/crates/balancer-core/tests/common/sparse.rs
@@ -21,7 +21,7 @@
     elapsed_ms: f64,
     outcome_at: impl Fn(ServerId) -> Outcome,
 ) -> Vec<u32> {
-    let load = SequentialLoad { request_count, pause_ms: REQUEST_GAP_MS };
+    let load = SequentialLoad { request_count, gap_ms: REQUEST_GAP_MS };
     harness.serve_sequentially(load, |server| Response { outcome: outcome_at(server), elapsed_ms })
 }
 
--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -6,8 +6,8 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// Submits requests until one is queued, and ends all of them with success after `elapsed_ms`. Returns how
-/// many were sent immediately.
+/// Submits requests until one is queued, and ends those that are sent with success after `elapsed_ms`.
+/// Returns how many were sent immediately.
 fn fill_and_succeed(harness: &mut Harness, elapsed_ms: f64) -> usize {
     let FilledServers { sent, unsent: queued } = harness.fill_servers();
     let sent_count = sent.len();
@@ -72,7 +72,7 @@
 }
 
 impl FullServers {
-    /// Rejects the attempts that these actions send, and the retries that follow the rejections.
+    /// Rejects the attempts that these actions send, and all retries that follow the rejections.
     fn reject_all(&mut self, mut pending_actions: Vec<Action>) {
         while let Some(action) = pending_actions.pop() {
             let Action::Send { request, .. } = action else { continue };
--- a/crates/balancer-core/tests/final_responses.rs
+++ b/crates/balancer-core/tests/final_responses.rs
@@ -1,4 +1,4 @@
-//! Tests that every request gets one final response in time and is not sent to a server after it.
+//! Tests that every request gets one final response in time, and is not sent to a server after that response.
 
 mod common;
 
@@ -123,8 +123,9 @@
     }
 }
 
-/// A request that is queued must not postpone the next tick. Otherwise a steady stream of requests would
-/// prevent every tick, and queued requests would pass their deadline without a final response.
+/// The balancer rejects queued requests during its periodic work, in ticks. A request that is queued must not
+/// postpone the next tick. Otherwise a steady stream of requests would prevent every tick, and queued
+/// requests would pass their deadline without a final response.
 #[test]
 fn requests_arriving_with_each_tick_do_not_starve_the_tick() {
     let mut harness = Harness::new(settings(), 1);
--- a/crates/balancer-core/tests/invalid_input.rs
+++ b/crates/balancer-core/tests/invalid_input.rs
@@ -15,7 +15,7 @@
 }
 
 /// Returns the number of requests that are sent to each of four servers if all load reports of server 0 have
-/// these values.
+/// these values. The other servers report that they have no requests in flight.
 fn requests_by_server(report_of_server_0: &[f64]) -> [u32; 4] {
     let mut harness = Harness::with_endpoints(settings(), 3, fleet(4));
     let mut requests_by_server = [0; 4];
--- a/crates/balancer-core/tests/load_polling.rs
+++ b/crates/balancer-core/tests/load_polling.rs
@@ -83,8 +83,8 @@
     assert!(find_target(&actions, request.id).is_some(), "the request is sent even without any report");
 }
 
-/// Candidates are not polled if health checks cost too much or are not allowed, if load reports contain no
-/// load, or in a dense view.
+/// Candidates are not polled in a dense view, or if health checks cost too much or are not allowed, or if
+/// load reports contain neither the requests in flight nor the queue length.
 #[test]
 fn costly_or_useless_load_polls_are_not_sent() {
     let costly = Costs { health_check: 0.01, ..Costs::default() };
@@ -114,8 +114,8 @@
     target
 }
 
-/// An idle server that is warming up has the lowest load in the polls of all balancers. If only the load
-/// counted, all balancers would send their requests to this server at once.
+/// An idle server that is warming up reports the lowest load to all balancers. If only the load counted, all
+/// balancers would send their requests to this server at the same time.
 #[test]
 fn idle_warming_up_server_does_not_attract_requests() {
     for settings in [sparse_settings(), polling_settings()] {
--- a/crates/balancer-core/tests/memory_growth.rs
+++ b/crates/balancer-core/tests/memory_growth.rs
@@ -5,7 +5,7 @@
 use balancer_core::*;
 use common::*;
 
-/// Maximum growth of the resident memory.
+/// The maximum growth of the resident memory.
 const MAX_GROWTH_KIB: u64 = 16 * 1024;
 
 /// Returns the resident memory of this process in KiB; `None` if the system does not report it.
@@ -15,8 +15,10 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Submits requests to a balancer. Each request has its own routing key and succeeds. There is no rule
-/// checker, because the checker's records would grow with the number of requests.
+/// A balancer and the requests that it serves. Each request has its own routing key and succeeds.
+///
+/// The tests do not use a [`Harness`], because the records of its rule checker grow with the number of
+/// requests.
 struct BalancerDriver {
     balancer: Balancer,
     now: Time,
@@ -26,7 +28,7 @@
 
 impl BalancerDriver {
     fn new(settings: Settings) -> Self {
-        let balancer = Balancer::new(settings, 1).expect("usable settings");
+        let balancer = Balancer::new(settings, 1).expect("valid settings");
         let now = Time::from_millis(1000);
         let mut driver = BalancerDriver { balancer, now, next_request: 0, actions: Vec::new() };
         driver.balancer.start(now, &mut driver.actions);
--- a/crates/balancer-core/tests/outlier_ejection.rs
+++ b/crates/balancer-core/tests/outlier_ejection.rs
@@ -1,5 +1,5 @@
-//! Tests of outlier ejection: servers that do not respond, fail quickly or become slow are ejected, and used
-//! again once they have recovered. A load that slows the whole fleet ejects no server.
+//! Tests of outlier ejection: servers that do not respond, fail quickly or become slow are ejected, and are
+//! used again once they have recovered. If a load slows the whole fleet down, no server is ejected.
 
 mod common;
 
@@ -9,7 +9,7 @@
     SECOND_ATTEMPT,
 };
 
-/// Returns a harness with a dense view and one class of this effect.
+/// Returns a harness with a dense view and one class with this effect.
 fn harness(effect: Effect, seed: u64, server_count: u32) -> Harness {
     Harness::with_endpoints(settings_with_effect(effect), seed, fleet(server_count))
 }
@@ -17,13 +17,13 @@
 /// Sends requests one after the other and ends each attempt with the response that `respond` returns for its
 /// server. Asserts that no rule was violated, and returns the number of attempts at each server.
 fn serve(harness: &mut Harness, request_count: u32, respond: impl Fn(ServerId) -> Response) -> Vec<u32> {
-    let load = SequentialLoad { request_count, pause_ms: 5.0 };
+    let load = SequentialLoad { request_count, gap_ms: 5.0 };
     let attempts_by_server = harness.serve_sequentially(load, respond);
     harness.assert_no_violations();
     attempts_by_server
 }
 
-/// Like [`serve`], but each attempt succeeds after `elapsed_ms`.
+/// Sends requests like [`serve`], and ends each attempt with success after `elapsed_ms`.
 fn serve_successfully(harness: &mut Harness, request_count: u32, elapsed_ms: f64) -> Vec<u32> {
     serve(harness, request_count, |_| Response::success(elapsed_ms))
 }
@@ -49,9 +49,9 @@
         });
         let after_fault = serve_successfully(&mut harness, 400, 30.0);
 
-        assert!(during_fault[2] <= 12, "{fault:?}: {during_fault:?}, more than probes");
-        assert!(during_fault[2] >= 3, "{fault:?}: {during_fault:?}, too few probes");
-        assert!(after_fault[2] > 30, "{fault:?}: {after_fault:?}, not used again");
+        assert!(during_fault[2] <= 12, "{fault:?}: server 2 was sent more than probes: {during_fault:?}");
+        assert!(during_fault[2] >= 3, "{fault:?}: server 2 was sent too few probes: {during_fault:?}");
+        assert!(after_fault[2] > 30, "{fault:?}: server 2 was not used again: {after_fault:?}");
     }
 }
 
--- a/crates/balancer-core/tests/random_events/main.rs
+++ b/crates/balancer-core/tests/random_events/main.rs
@@ -1,5 +1,5 @@
-//! Tests that a balancer keeps the rules for random sequences of events, and that it returns equal actions
-//! for equal events.
+//! Tests that a balancer violates no rule under random sequences of events, and that equal events give equal
+//! actions.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -46,8 +46,8 @@
         let violations = &simulation.harness.rule_checker.violations;
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         assert_eq!(simulation.harness.lost_request_count(), 0, "seed {seed}");
-        let send_count = simulation.action_log.iter().filter(|actions| actions.contains("Send")).count();
-        assert!(send_count > 50, "seed {seed} shows little: attempts were sent in only {send_count} steps");
+        let sending_steps = simulation.action_log.iter().filter(|actions| actions.contains("Send")).count();
+        assert!(sending_steps > 50, "seed {seed}: attempts were sent in only {sending_steps} steps");
     }
 }
 
--- a/crates/balancer-core/tests/recorded_actions/action_recorder.rs
+++ b/crates/balancer-core/tests/recorded_actions/action_recorder.rs
@@ -7,7 +7,7 @@
 
 /// The encoding of an absent value.
 const ABSENT: u64 = u64::MAX;
-/// The encoding of the contents of an action that has no contents.
+/// The encoded contents of an action that carries no data.
 const NO_CONTENTS: u64 = 1;
 
 /// A kind of action. The numbers of the kinds are part of the digests and must not change. Number 9 belonged
@@ -58,7 +58,7 @@
     }
 }
 
-/// Computes the digest of actions and counts them by kind.
+/// The digest of a sequence of actions, and the number of its actions of each kind.
 #[derive(Default)]
 pub struct ActionRecorder {
     hasher: FnvHasher,
--- a/crates/balancer-core/tests/recorded_actions/clients.rs
+++ b/crates/balancer-core/tests/recorded_actions/clients.rs
@@ -32,9 +32,9 @@
 
 /// All clients of a simulation.
 pub struct Clients {
-    /// The fraction of its class's timeout that a client waits for a response.
+    /// How long clients wait for a response, as a fraction of the timeout of the request's class.
     pub timeout_fraction: f64,
-    /// The factor by which requests arrive more often than the scenario specifies.
+    /// The arrival rate of requests, as a multiple of the rate that the scenario specifies.
     pub arrival_rate_factor: f64,
     scenario: Scenario,
     requests: BTreeMap<RequestId, ClientRequest>,
--- a/crates/balancer-core/tests/recorded_actions/fleet.rs
+++ b/crates/balancer-core/tests/recorded_actions/fleet.rs
@@ -70,7 +70,7 @@
 
 /// All servers of a simulation.
 pub struct Fleet {
-    /// The factor by which every server is slower than normal. It also raises the reported loads.
+    /// The factor by which every server is slower than normal. The factor also raises the reported loads.
     pub slowdown_factor: f64,
     servers: BTreeMap<ServerId, Server>,
     /// The id of the next server that is added.
--- a/crates/balancer-core/tests/recorded_actions/main.rs
+++ b/crates/balancer-core/tests/recorded_actions/main.rs
@@ -30,7 +30,7 @@
     digest: u64,
 }
 
-/// Returns the recordings. The digests were recorded before the code was reorganised.
+/// Returns all scenarios with their recorded digests.
 fn recordings() -> Vec<Recording> {
     let recording = |name, scenario, digest| Recording { name, scenario, digest };
     vec![
@@ -65,8 +65,8 @@
     assert!(differences.is_empty(), "actions differ from the recorded ones:\n{}", differences.join("\n"));
 }
 
-/// Guards against scenarios in which the balancer takes few actions, or few kinds of action: their digests
-/// would hardly show a changed decision.
+/// Guards against scenarios in which the balancer takes few actions or few kinds of action. The digests of
+/// such scenarios would hardly ever show a changed decision.
 #[test]
 fn scenarios_cover_every_kind_of_action() {
     let mut totals: BTreeMap<ActionKind, u64> = BTreeMap::new();
--- a/crates/balancer-core/tests/recorded_actions/scenarios/few_balancers.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios/few_balancers.rs
@@ -26,13 +26,13 @@
     }
 }
 
-/// Endpoint updates arrive without a request by the balancer, and hedged requests are allowed.
+/// Creates a scenario in which discovery pushes endpoint updates, and hedged requests are allowed.
 pub fn few_balancers_pushed() -> Scenario {
     let settings = Settings { allows_hedging: true, ..small_deployment() };
     scenario(11, settings)
 }
 
-/// Endpoint updates arrive only after a request by the balancer, and responses carry load reports.
+/// Creates a scenario in which the balancer must request endpoint updates, and responses carry load reports.
 pub fn few_balancers_on_request() -> Scenario {
     let costs = Costs { cross_zone: 0.02, ..Costs::default() };
     let settings = Settings {
@@ -45,14 +45,15 @@
     Scenario { server_count: 12, mean_fault_gap_ms: 250.0, ..scenario(12, settings) }
 }
 
-/// Attempts to other zones are costly, a request has at most two attempts, and attempts cannot be cancelled.
+/// Creates a scenario in which attempts to other zones are costly, a request has at most two attempts, and
+/// attempts cannot be cancelled.
 pub fn costly_cross_zone_attempts() -> Scenario {
     let costs = Costs { cross_zone: 0.05, ..Costs::default() };
     let settings = Settings { costs, allows_cancel: false, max_attempts: 2, ..small_deployment() };
     Scenario { server_count: 4, mean_arrival_gap_ms: 3.0, ..scenario(13, settings) }
 }
 
-/// Requests carry more different routing keys than the balancer can remember.
+/// Creates a scenario in which requests carry more different routing keys than the balancer can remember.
 pub fn routing_keys() -> Scenario {
     let settings = Settings {
         has_key_affinity: true,
@@ -69,7 +70,8 @@
     }
 }
 
-/// Most requests come from the first tenant, which exceeds its share of the capacity.
+/// Creates a scenario in which most requests come from the first tenant, which exceeds its share of the
+/// capacity.
 pub fn tenants_over_their_share() -> Scenario {
     let settings = Settings {
         tenants: tenants(),
@@ -81,7 +83,7 @@
     Scenario { server_count: 5, mean_arrival_gap_ms: 4.0, ..scenario(15, settings) }
 }
 
-/// A fleet of two servers is sent many requests.
+/// Creates a scenario in which many requests arrive for a fleet of two servers.
 pub fn high_load_on_two_servers() -> Scenario {
     let settings = Settings { balancer_count: 2, ..small_deployment() };
     Scenario {
@@ -93,7 +95,7 @@
     }
 }
 
-/// Requests with routing keys arrive at a low rate for several minutes.
+/// Creates a scenario in which requests with routing keys arrive at a low rate for several minutes.
 pub fn few_balancers_long_run() -> Scenario {
     let settings = Settings { has_key_affinity: true, ..small_deployment() };
     Scenario {
@@ -105,7 +107,8 @@
     }
 }
 
-/// While all servers are draining, more requests arrive than the balancer can queue.
+/// Creates a scenario in which more requests arrive than the balancer can queue, while all servers are
+/// draining.
 pub fn burst_beyond_queue_capacity() -> Scenario {
     Scenario {
         server_count: 3,
--- a/crates/balancer-core/tests/recorded_actions/scenarios/many_balancers.rs
+++ b/crates/balancer-core/tests/recorded_actions/scenarios/many_balancers.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// Endpoint updates arrive without a request by the balancer, and responses carry load reports.
+/// Creates a scenario in which discovery pushes endpoint updates, and responses carry load reports.
 pub fn many_balancers_pushed() -> Scenario {
     let settings = Settings {
         load_report_source: LoadReportSource::Responses,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Endpoint updates arrive only after a request by the balancer. Requests belong to tenants.
+/// Creates a scenario in which the balancer must request endpoint updates, and requests belong to tenants.
 pub fn many_balancers_on_request() -> Scenario {
     let settings =
         Settings { discovery_mode: DiscoveryMode::OnRequest, tenants: tenants(), ..large_deployment() };
@@ -58,17 +58,19 @@
     }
 }
 
-/// Health checks are just cheap enough that the balancer polls the loads of candidates.
+/// Creates a scenario in which health checks are just cheap enough for the balancer to poll the loads of
+/// candidates.
 pub fn many_balancers_cheap_polls() -> Scenario {
     many_balancers_polling_loads(0.0008, 20)
 }
 
-/// Health checks are just too costly, so that the balancer does not poll the loads of candidates.
+/// Creates a scenario in which health checks are just too costly for the balancer to poll the loads of
+/// candidates.
 pub fn many_balancers_costly_polls() -> Scenario {
     many_balancers_polling_loads(0.00085, 21)
 }
 
-/// Many requests arrive at slow servers, half of which are warming up.
+/// Creates a scenario in which many requests arrive for slow servers, half of which are warming up.
 pub fn many_balancers_overloaded() -> Scenario {
     let settings = Settings { allows_gossip: false, ..large_deployment() };
     Scenario {
@@ -80,7 +82,7 @@
     }
 }
 
-/// Requests arrive at a low rate for several minutes.
+/// Creates a scenario in which requests arrive at a low rate for several minutes.
 pub fn many_balancers_long_run() -> Scenario {
     Scenario {
         server_count: 25,
@@ -91,7 +93,7 @@
     }
 }
 
-/// Every response comes after the latency objective.
+/// Creates a scenario in which every response comes after the latency objective.
 pub fn many_balancers_late_responses() -> Scenario {
     Scenario {
         server_count: 25,
@@ -101,7 +103,7 @@
     }
 }
 
-/// Servers respond within about one millisecond, and half of them are warming up.
+/// Creates a scenario in which servers respond within about one millisecond, and half of them are warming up.
 pub fn many_balancers_fast_servers() -> Scenario {
     Scenario {
         server_count: 30,
--- a/crates/balancer-core/tests/recorded_actions/simulation/faults.rs
+++ b/crates/balancer-core/tests/recorded_actions/simulation/faults.rs
@@ -5,17 +5,21 @@
 use super::Simulation;
 use balancer_core::{EndpointStatus, EndpointUpdate, ServerId};
 
-/// The values of [`Fleet::slowdown_factor`](super::super::fleet::Fleet::slowdown_factor). Each entry is
-/// equally likely.
+/// The values that [`Fleet::slowdown_factor`](super::super::fleet::Fleet::slowdown_factor) can change to.
+/// Each entry is equally likely.
 const FLEET_SLOWDOWN_FACTORS: [f64; 5] = [1.0, 1.0, 2.5, 6.0, 12.0];
-/// The fractions of their class's timeout that clients can wait. Each entry is equally likely.
+/// The values that [`Clients::timeout_fraction`](super::super::clients::Clients::timeout_fraction) can change
+/// to. Each entry is equally likely.
 const TIMEOUT_FRACTIONS: [f64; 4] = [1.0, 1.0, 0.6, 0.3];
-/// The factors by which the arrival rate can change. Each entry is equally likely.
+/// The values that [`Clients::arrival_rate_factor`](super::super::clients::Clients::arrival_rate_factor) can
+/// change to. Each entry is equally likely.
 const ARRIVAL_RATE_FACTORS: [f64; 5] = [1.0, 1.0, 0.2, 4.0, 12.0];
 
 impl Simulation {
-    /// Injects a random fault or change into the fleet, discovery or the clients. Schedules the end of global
-    /// faults and the next fault.
+    /// Injects a random fault or change into the fleet, discovery or the clients.
+    ///
+    /// Schedules the next fault, and the end of all global faults: those that do not belong to a single
+    /// server.
     pub(super) fn inject_fault(&mut self) {
         let gap_ms = self.context.draw_gap_ms(self.scenario.mean_fault_gap_ms);
         self.context.schedule_after(gap_ms, ScheduledEvent::Fault);
--- a/crates/balancer-core/tests/rule_checker.rs
+++ b/crates/balancer-core/tests/rule_checker.rs
@@ -71,13 +71,13 @@
     checker.check_action(START, &REJECT);
     assert_no_violations(&checker);
     checker.check_action(START, &send_to(ServerId(0), START));
-    assert_violated(&checker, Rule::NoSendAfterTheEnd);
+    assert_violated(&checker, Rule::NoSendAfterFinalResponse);
     checker.check_action(START, &FAIL);
-    assert_violated(&checker, Rule::OneEnd);
+    assert_violated(&checker, Rule::OneFinalResponse);
 
     let mut checker = checker_with_request(Effect::Idempotent);
     checker.check_action(START + Span::from_millis(850), &FAIL);
-    assert_violated(&checker, Rule::EndInTime);
+    assert_violated(&checker, Rule::FinalResponseInTime);
 }
 
 #[test]
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -1,11 +1,13 @@
-//! Tests that invalid settings return errors and do not panic, and that settings need only one class.
+//! Tests that `Balancer::new` returns an error for invalid settings, and that one request class is all that
+//! settings need.
 
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// Creates a balancer from the default settings with this change, and returns the error.
+/// Creates a balancer from the default settings with this change. Returns the error, or `None` if the
+/// settings are valid.
 fn error_after(change: fn(&mut Settings)) -> Option<SettingsError> {
     let mut settings = Settings::default();
     change(&mut settings);
@@ -36,8 +38,9 @@
     assert_eq!(error_after(|_| ()), None);
 }
 
-/// Requests are served without load reports, routing keys, tenants, health checks, cancelled attempts or
-/// retry advice, and with goal weights of zero.
+/// Requests are served even if the settings provide for no load reports, routing keys, tenants, health
+/// checks, cancellation or retry advice, and all goal weights are zero. Load reports that arrive nevertheless
+/// are ignored.
 #[test]
 fn settings_with_only_a_class_suffice() {
     let settings = Settings {
--- a/crates/balancer-core/tests/shedding.rs
+++ b/crates/balancer-core/tests/shedding.rs
@@ -144,5 +144,8 @@
         ..Request::new(RequestId(u64::from(number)), ClassId(0), CLASS_TIMEOUT)
     });
 
-    assert!(served[1] > served[0] + 0.05, "a larger fraction of the tenant within its share: {served:?}");
+    assert!(
+        served[1] > served[0] + 0.05,
+        "a larger fraction should be served of the tenant within its share: {served:?}"
+    );
 }
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -153,7 +153,7 @@
 /// A server without a start time is warm, even if the clock starts near the epoch.
 #[test]
 fn clock_near_zero_puts_no_server_in_slow_start() {
-    let mut balancer = Balancer::new(settings(), 1).expect("usable settings");
+    let mut balancer = Balancer::new(settings(), 1).expect("valid settings");
     let mut actions = Vec::new();
     balancer.start(Time::EPOCH, &mut actions);
     let endpoints = Event::Endpoints(EndpointUpdate::Complete(fleet(2)));
--- a/crates/balancer-core/tests/sparse_slow_start.rs
+++ b/crates/balancer-core/tests/sparse_slow_start.rs
@@ -26,8 +26,9 @@
     harness
 }
 
-/// The capacity share limits how often a server that is warming up enters the balancer's memory. If the share
-/// were applied again at each choice from the memory, the server would be sent the square of its share, and
+/// A balancer remembers the servers that it chose most recently, and they are candidates for later requests.
+/// The capacity share limits how often a server that is warming up is chosen and thus remembered. If the
+/// share were applied again to remembered servers, the server would be sent only the square of its share, and
 /// the warm servers would be overloaded.
 #[test]
 fn warming_up_server_gets_its_capacity_share() {
@@ -61,8 +62,8 @@
     attempts_by_server.iter().skip(1).step_by(2).sum()
 }
 
-/// If a balancer still remembered a restarted server, it would go on sending the server as many requests as a
-/// warm one.
+/// If a balancer still remembered a restarted server, the balancer would go on sending the server as many
+/// requests as a warm one.
 #[test]
 fn restarted_server_goes_through_slow_start_again() {
     let to_restarted: u32 = (0..60).map(requests_to_restarted_servers).sum();
@@ -94,14 +95,14 @@
 
 /// Servers that are warming up are sent more than their guaranteed capacity share if they respond faster than
 /// warm servers, up to half of the load that makes them fail. Without this increase, the slower warm servers
-/// would be sent the other requests. Servers that are warming up and respond more slowly are sent no more
-/// than their share.
+/// would be sent these requests. Servers that are warming up and respond more slowly than warm ones are sent
+/// no more than their share.
 #[test]
 fn warming_up_servers_faster_than_warm_ones_get_more() {
     let ratio_if_faster = warming_up_request_ratio(60.0, 40.0);
     let ratio_if_slower = warming_up_request_ratio(40.0, 60.0);
 
-    // Without the allowance, the ratios are 0.56 and 0.13, because a faster server is also more likely to be
+    // Without the increase, the ratios are 0.56 and 0.13, because a faster server is also more likely to be
     // chosen.
     assert!((0.7..0.9).contains(&ratio_if_faster), "ratio {ratio_if_faster:.2} if faster");
     assert!((0.1..0.2).contains(&ratio_if_slower), "ratio {ratio_if_slower:.2} if slower");
--- a/crates/balancer-core/tests/sparse_view.rs
+++ b/crates/balancer-core/tests/sparse_view.rs
@@ -1,5 +1,8 @@
-//! Tests of routing in a sparse view: how a server is chosen, and which connections are kept. In this view,
-//! balancers outnumber servers, and a balancer rarely has a request in flight at a given server.
+//! Tests of routing in a sparse view: how a server is chosen, and which connections are kept.
+//!
+//! In a sparse view balancers outnumber servers, and a balancer rarely has a request in flight at a given
+//! server. The balancer remembers the servers that it chose most recently. These servers are candidates for
+//! later requests, and only the connections to them are kept.
 
 mod common;
 
--- a/crates/balancer-core/tests/suspicion.rs
+++ b/crates/balancer-core/tests/suspicion.rs
@@ -19,9 +19,10 @@
     actions.iter().filter_map(payload_of).collect()
 }
 
-/// Returns how many of the first three requests of each of 60 new balancers are sent to a server, if the
-/// requests arrive `delay_ms` after a gossip message about the server. Only the first requests of a balancer
-/// show its suspicion, because a success ends the suspicion.
+/// Returns how many requests 60 new balancers send to a server after a gossip message about the server.
+///
+/// Each balancer receives the message, and three requests `delay_ms` later. Further requests would show
+/// nothing, because a success ends the suspicion.
 fn first_requests_after_gossip(server: ServerId, payload: &[u8], delay_ms: f64) -> u32 {
     let requests_with_seed = |seed| {
         let mut harness = Harness::with_endpoints(gossiping_settings(), seed, fleet(10));
