--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -14,6 +14,9 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
+/// The server gets the method, target, request id, idempotency key and body that the client sent, and the
+/// time left until the client's deadline as `X-Timeout`. The client gets the status and body that the server
+/// sent.
 #[tokio::test]
 async fn requests_and_responses_are_forwarded_unchanged() {
     let mut server = TestServer::responding_with("body of the answer").await;
@@ -99,16 +102,16 @@
     assert_eq!(retry.connection, 0, "a rejection must not close the connection");
 }
 
-/// A retry must be sent within the deduplication window of its request. The agent starts no retry whose
-/// connect may succeed only after the window.
+/// A retry must be sent within the deduplication window of its request. The agent starts no retry if the
+/// connect may last until after the window.
 #[tokio::test]
 async fn a_retry_that_may_miss_its_deduplication_window_is_not_started() {
     assert!(!is_retried_with_window_ms(5_000).await);
     assert!(is_retried_with_window_ms(60_000).await);
 }
 
-/// Whether the agent retries a failed request of a class with this deduplication window. The timeout for the
-/// connect to the next server is 20 s.
+/// Returns whether the agent retries a failed request of a class with this deduplication window. The timeout
+/// for the connect to the next server is 20 s.
 async fn is_retried_with_window_ms(deduplication_window_ms: u64) -> bool {
     let gate = ResponseGate::default();
     let malformed_reply = ServerReply::WhenReleased(gate.clone(), b"\0\xff\r\n\r\n".to_vec());
@@ -138,8 +141,8 @@
     }
 }
 
-/// A change of a server's entry in the endpoint list. After it, the connections that were opened before must
-/// carry no more requests.
+/// A change of a server's entry in the endpoint list. Connections that were opened before such a change must
+/// carry no requests after it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ServerChange {
     /// The entry says that the server is draining.
@@ -211,7 +214,6 @@
     }
 }
 
-/// The response to a rejected request has a `Retry-After` header only if the settings allow it.
 #[tokio::test]
 async fn a_rejection_carries_retry_after_only_where_the_settings_allow_it() {
     let server = TestServer::start(|_| ServerReply::KeepOpen(NOT_PROCESSED_503.to_vec())).await;
--- a/crates/balancer-agent/tests/common/agent.rs
+++ b/crates/balancer-agent/tests/common/agent.rs
@@ -22,8 +22,8 @@
     config_file: ConfigFile,
 }
 
-/// Returns a command that starts the agent with this configuration file. The command's
-/// environment holds only `PROXY_CONFIG`.
+/// Returns a command that starts the agent with this configuration file. The command's environment holds only
+/// `PROXY_CONFIG`.
 pub fn agent_command(config_file: &ConfigFile) -> Command {
     let mut command = Command::new(AGENT_EXECUTABLE);
     command.env_clear().env("PROXY_CONFIG", config_file.path()).stderr(Stdio::piped()).kill_on_drop(true);
@@ -45,7 +45,7 @@
             BufReader::new(process.stderr.take().expect("the agent's standard error should be piped"))
                 .lines();
         let address = read_listen_address(&mut log).await;
-        // Reads and drops the rest of the log, as a full pipe would block the agent.
+        // Reads and discards the rest of the log, because a full pipe would block the agent.
         tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
         Agent { address, process, config_file }
     }
--- a/crates/balancer-agent/tests/common/client.rs
+++ b/crates/balancer-agent/tests/common/client.rs
@@ -40,7 +40,7 @@
     ///
     /// # Panics
     ///
-    /// If the agent sends any bytes before the close.
+    /// Panics if the agent sends any bytes before the close.
     pub async fn wait_for_close(&mut self) {
         let mut byte = [0; 1];
         let read = within_time_limit("the close of the connection", self.stream.read(&mut byte)).await;
--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A request deadline that no test reaches.
-const LONG_DEADLINE_MS: u64 = 60_000;
+/// A request timeout that no test reaches.
+const LONG_TIMEOUT_MS: u64 = 60_000;
 
 /// A request class of the settings. The variants are in the order of the settings' list of classes.
 #[derive(Clone, Copy)]
@@ -89,24 +89,24 @@
         self
     }
 
-    /// Sets the deadline of every class to [`LONG_DEADLINE_MS`].
-    pub fn with_long_deadlines(self) -> Self {
-        self.with_deadline_ms(RequestClass::Read, LONG_DEADLINE_MS)
-            .with_deadline_ms(RequestClass::Save, LONG_DEADLINE_MS)
-            .with_deadline_ms(RequestClass::Pay, LONG_DEADLINE_MS)
+    /// Sets the timeout of every class to [`LONG_TIMEOUT_MS`].
+    pub fn with_long_timeouts(self) -> Self {
+        self.with_class_timeout_ms(RequestClass::Read, LONG_TIMEOUT_MS)
+            .with_class_timeout_ms(RequestClass::Save, LONG_TIMEOUT_MS)
+            .with_class_timeout_ms(RequestClass::Pay, LONG_TIMEOUT_MS)
     }
 
-    /// Sets the deadline of requests of a class.
-    pub fn with_deadline_ms(self, class: RequestClass, milliseconds: u64) -> Self {
+    /// Sets the timeout of a class: how long its clients wait for a response in total.
+    pub fn with_class_timeout_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "deadlineMs", milliseconds)
     }
 
-    /// Sets the latency objective of requests of a class.
+    /// Sets the latency objective of a class.
     pub fn with_latency_objective_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "aimMs", milliseconds)
     }
 
-    /// Sets the time during which servers deduplicate requests of a class.
+    /// Sets the time during which servers deduplicate the requests of a class.
     pub fn with_deduplication_window_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "dedupWindowMs", milliseconds)
     }
--- a/crates/balancer-agent/tests/common/discovery.rs
+++ b/crates/balancer-agent/tests/common/discovery.rs
@@ -54,22 +54,22 @@
 
 /// How the discovery service handles a call.
 #[derive(Clone)]
-pub enum DiscoveryBehavior {
-    /// Responds with this list. A watch gets the response only once the list is newer than the version that
-    /// the watch names.
+pub enum DiscoveryBehaviour {
+    /// The service responds with this list. A watch gets the response only once the list is newer than the
+    /// version that the watch names.
     Serve(Value),
-    /// Responds with an error.
+    /// The service responds with an error.
     Fail,
-    /// Sends no response.
+    /// The service sends no response.
     Silent,
 }
 
-impl DiscoveryBehavior {
-    /// Whether a call can be handled now. `known_version` is the version that a watch names, or `None` if the
-    /// call is not a watch.
+impl DiscoveryBehaviour {
+    /// Returns whether a call can be handled now. `known_version` is the version that a watch names, or
+    /// `None` if the call is not a watch.
     fn can_handle(&self, known_version: Option<u64>) -> bool {
         match (self, known_version) {
-            (DiscoveryBehavior::Serve(list), Some(known_version)) => {
+            (DiscoveryBehaviour::Serve(list), Some(known_version)) => {
                 list["seq"].as_u64() > Some(known_version)
             }
             _ => true,
@@ -78,9 +78,9 @@
 
     fn response(&self) -> Option<Vec<u8>> {
         match self {
-            DiscoveryBehavior::Serve(list) => Some(ok_response(&list.to_string())),
-            DiscoveryBehavior::Fail => Some(UNAVAILABLE_503.to_vec()),
-            DiscoveryBehavior::Silent => None,
+            DiscoveryBehaviour::Serve(list) => Some(ok_response(&list.to_string())),
+            DiscoveryBehaviour::Fail => Some(UNAVAILABLE_503.to_vec()),
+            DiscoveryBehaviour::Silent => None,
         }
     }
 }
@@ -89,47 +89,48 @@
 pub struct TestDiscovery {
     /// The address that the service listens on.
     pub address: SocketAddr,
-    behavior: watch::Sender<DiscoveryBehavior>,
+    behaviour: watch::Sender<DiscoveryBehaviour>,
     /// The targets of the calls that have been received and not read by the test.
     calls: mpsc::Receiver<String>,
 }
 
 impl TestDiscovery {
-    /// Starts a discovery service with this behavior. The service runs until the end of the test, even if the
-    /// returned value is dropped.
-    pub async fn start(behavior: DiscoveryBehavior) -> Self {
+    /// Starts a discovery service with this behaviour. The service runs until the end of the test, even if
+    /// the returned value is dropped.
+    pub async fn start(behaviour: DiscoveryBehaviour) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port should be free");
         let address = listener.local_addr().expect("the listener should have an address");
         let (call_sender, calls) = mpsc::channel(CHANNEL_CAPACITY);
-        let behavior = watch::Sender::new(behavior);
-        tokio::spawn(accept_connections(listener, behavior.clone(), call_sender));
-        TestDiscovery { address, behavior, calls }
+        let behaviour = watch::Sender::new(behaviour);
+        tokio::spawn(accept_connections(listener, behaviour.clone(), call_sender));
+        TestDiscovery { address, behaviour, calls }
     }
 
     /// Starts a discovery service that sends no responses.
     pub async fn silent() -> Self {
-        Self::start(DiscoveryBehavior::Silent).await
+        Self::start(DiscoveryBehaviour::Silent).await
     }
 
-    /// Starts a discovery service that serves version 1, which the agent already knows.
+    /// Starts a discovery service whose list has version 1, which the agent already knows. A watch therefore
+    /// gets no response.
     pub async fn without_updates() -> Self {
-        Self::start(DiscoveryBehavior::Serve(endpoint_list(1, &[]))).await
+        Self::start(DiscoveryBehaviour::Serve(endpoint_list(1, &[]))).await
     }
 
-    /// Sets the behavior for open and future calls.
-    pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
-        self.behavior.send_replace(behavior);
+    /// Sets the behaviour for open and future calls.
+    pub fn set_behaviour(&self, behaviour: DiscoveryBehaviour) {
+        self.behaviour.send_replace(behaviour);
     }
 
     /// Serves a complete list with these entries from now on.
     pub fn publish(&self, version: u64, entries: &[Value]) {
-        self.set_behavior(DiscoveryBehavior::Serve(endpoint_list(version, entries)));
+        self.set_behaviour(DiscoveryBehaviour::Serve(endpoint_list(version, entries)));
     }
 
     /// Serves a list of changes with these entries from now on.
     pub fn publish_changes(&self, version: u64, entries: &[Value]) {
         let changes = json!({"seq": version, "whole": false, "hosts": entries});
-        self.set_behavior(DiscoveryBehavior::Serve(changes));
+        self.set_behaviour(DiscoveryBehaviour::Serve(changes));
     }
 
     /// Waits for the next call and returns its request target.
@@ -147,40 +148,42 @@
 
 async fn accept_connections(
     listener: TcpListener,
-    behavior: watch::Sender<DiscoveryBehavior>,
+    behaviour: watch::Sender<DiscoveryBehaviour>,
     calls: mpsc::Sender<String>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(serve_connection(stream, behavior.subscribe(), calls.clone()));
+        tokio::spawn(serve_connection(stream, behaviour.subscribe(), calls.clone()));
     }
 }
 
 async fn serve_connection(
     mut stream: TcpStream,
-    mut behavior: watch::Receiver<DiscoveryBehavior>,
+    mut behaviour: watch::Receiver<DiscoveryBehaviour>,
     calls: mpsc::Sender<String>,
 ) {
     while let Some(request) = read_message(&mut stream, 0).await {
         let target = request.target().to_owned();
         // Sending fails if the test has dropped its `TestDiscovery` because it does not check the calls.
         let _ = calls.send(target.clone()).await;
-        let Some(response) = wait_for_response(&mut behavior, known_version(&target)).await else { continue };
+        let Some(response) = wait_for_response(&mut behaviour, known_version(&target)).await else {
+            continue;
+        };
         if stream.write_all(&response).await.is_err() {
             return;
         }
     }
 }
 
-/// Waits until the behavior can handle the call, and returns the response; `None` if the behavior sends none.
+/// Waits until the behaviour can handle the call, and returns the response, or `None` if the call gets none.
 async fn wait_for_response(
-    behavior: &mut watch::Receiver<DiscoveryBehavior>,
+    behaviour: &mut watch::Receiver<DiscoveryBehaviour>,
     known_version: Option<u64>,
 ) -> Option<Vec<u8>> {
-    let current_behavior = behavior.wait_for(|behavior| behavior.can_handle(known_version)).await;
-    current_behavior.expect("the sender of the behavior should be open").response()
+    let current_behaviour = behaviour.wait_for(|behaviour| behaviour.can_handle(known_version)).await;
+    current_behaviour.expect("the sender of the behaviour should be open").response()
 }
 
-/// Returns the version that a watch names in its target; `None` if the call is not a watch.
+/// Returns the version that a watch names in its request target, or `None` if the call is not a watch.
 fn known_version(target: &str) -> Option<u64> {
     let (_, value) = target.split_once("after=")?;
     value.split('&').next()?.parse().ok()
--- a/crates/balancer-agent/tests/common/kernel.rs
+++ b/crates/balancer-agent/tests/common/kernel.rs
@@ -12,7 +12,7 @@
 
 /// Waits until a connect to this address is in progress.
 pub async fn wait_for_connect_in_progress(address: SocketAddr) {
-    // The end of the remote address, and the state.
+    // Matches the port of the remote address, and the state.
     let pattern = format!(":{:04X} {SYN_SENT} ", address.port());
     within_time_limit("a connect to the address", async {
         while !read_tcp_connections().contains(&pattern) {
@@ -22,10 +22,10 @@
     .await;
 }
 
-/// Whether the agent has closed its side of a client connection, and the client's kernel has not yet
+/// Returns whether the agent has closed its side of a client connection, and the client's kernel has not yet
 /// acknowledged the close and all data before it.
 pub fn is_close_unacknowledged(agent: SocketAddr, client: SocketAddr) -> bool {
-    // The end of the local address, the remote address and the state.
+    // Matches the port of the local address, the remote address on 127.0.0.1, and the state.
     let pattern = format!(":{:04X} 0100007F:{:04X} {FIN_WAIT_1} ", agent.port(), client.port());
     read_tcp_connections().contains(&pattern)
 }
--- a/crates/balancer-agent/tests/common/messages.rs
+++ b/crates/balancer-agent/tests/common/messages.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads one message; `None` if the connection is closed before the end of the message.
+/// Reads one message. Returns `None` if the connection is closed before the end of the message.
 pub async fn read_message(stream: &mut TcpStream, connection: usize) -> Option<Message> {
     let ReceivedHead { head, rest: mut body } = read_head(stream).await?;
     let mut message = Message { connection, head, body: Vec::new() };
@@ -74,7 +74,7 @@
     rest: Vec<u8>,
 }
 
-/// Reads up to the end of a head; `None` if the connection is closed before the end of the head.
+/// Reads up to the end of a head. Returns `None` if the connection is closed before the end of the head.
 async fn read_head(stream: &mut TcpStream) -> Option<ReceivedHead> {
     let mut bytes = Vec::new();
     let end = loop {
@@ -119,7 +119,8 @@
     )
 }
 
-/// Returns a POST request with a chunked body that begins with these chunks.
+/// Returns a POST request with a chunked body that begins with these encoded chunks. The caller sends the
+/// rest of the body, if there is more.
 pub fn chunked_post_request(path: &str, timeout: &str, chunks: &str) -> String {
     let request = post_request(path, timeout, "");
     request.replace("Content-Length: 0", "Transfer-Encoding: chunked") + chunks
--- a/crates/balancer-agent/tests/common/mod.rs
+++ b/crates/balancer-agent/tests/common/mod.rs
@@ -23,7 +23,7 @@
 ///
 /// # Panics
 ///
-/// If the future is not ready within the time limit. `event` describes the future in the message.
+/// Panics if the future is not ready within the time limit. `event` describes the future in the message.
 pub async fn within_time_limit<T>(event: &str, future: impl Future<Output = T>) -> T {
     tokio::time::timeout(TIME_LIMIT, future).await.unwrap_or_else(|_| panic!("timed out waiting for {event}"))
 }
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -11,7 +11,7 @@
 
 const CHANNEL_CAPACITY: usize = 1024;
 
-/// Holds responses until the test releases them.
+/// A gate that holds responses until the test releases them.
 #[derive(Clone, Default)]
 pub struct ResponseGate(Arc<Notify>);
 
@@ -34,18 +34,19 @@
 /// How a test server replies to a request.
 #[derive(Clone)]
 pub enum ServerReply {
-    /// Sends these bytes and keeps the connection open.
+    /// The server sends these bytes and keeps the connection open.
     KeepOpen(Vec<u8>),
-    /// Sends these bytes and shuts down the server's write half of the connection.
+    /// The server sends these bytes and shuts down its write half of the connection.
     Close(Vec<u8>),
-    /// Sends these bytes once the gate releases them, and keeps the connection open.
+    /// The server sends these bytes once the gate releases them, and keeps the connection open.
     WhenReleased(ResponseGate, Vec<u8>),
-    /// Sends nothing and keeps the connection open.
+    /// The server sends nothing and keeps the connection open.
     Silent,
 }
 
 impl ServerReply {
-    /// Sends the reply. Write errors are ignored, as the test checks what the agent has received.
+    /// Sends the reply. Write errors are ignored, because the agent may have closed the connection, and the
+    /// test checks what the agent has received.
     async fn send(self, stream: &mut TcpStream) {
         match self {
             ServerReply::KeepOpen(bytes) => stream.write_all(&bytes).await.unwrap_or(()),
@@ -75,7 +76,7 @@
 }
 
 impl TestServer {
-    /// Starts a server that replies to each request with the result of `script`.
+    /// Starts a server that sends the reply that `script` returns for each request.
     pub async fn start(script: impl Fn(&Message) -> ServerReply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port should be free");
         let address = listener.local_addr().expect("the listener should have an address");
@@ -136,7 +137,8 @@
             .expect("the test server should be running")
     }
 
-    /// Whether a request has been received that the test has not read. The request is removed from the queue.
+    /// Returns whether a request has been received that the test has not read. Removes the request from the
+    /// queue.
     pub fn has_unread_request(&mut self) -> bool {
         self.requests.try_recv().is_ok()
     }
@@ -154,7 +156,7 @@
     }
 }
 
-/// Handles the connections of a server. Each connection is served by a clone of the handler.
+/// A handler of the connections to a server. Each connection is served by a clone of the handler.
 #[derive(Clone)]
 struct ConnectionHandler {
     script: Arc<dyn Fn(&Message) -> ServerReply + Send + Sync>,
--- a/crates/balancer-agent/tests/common/setup.rs
+++ b/crates/balancer-agent/tests/common/setup.rs
@@ -12,8 +12,8 @@
 /// A socket limit of the agent that is low enough for the clients of one test to use up all connection slots.
 pub const LOW_SOCKET_LIMIT: usize = 80;
 
-/// The delay from SIGTERM to a time when the agent has stopped accepting connections. SIGKILL follows well
-/// after this time if the longest deadline is 3 s.
+/// A delay after SIGTERM that is longer than the 0.65 s for which the agent accepts new connections. If the
+/// longest class timeout is 3 s or more, the agent waits for responses until well after this delay.
 pub const DELAY_PAST_ACCEPT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Starts an agent whose known endpoint list holds the server at this address. Its discovery service sends no
--- a/crates/balancer-agent/tests/connection_close.rs
+++ b/crates/balancer-agent/tests/connection_close.rs
@@ -1,5 +1,5 @@
-//! Tests of the close of client connections: when the agent closes a connection, and that the close truncates
-//! no response.
+//! Tests of how the agent closes client connections: when it closes a connection, and that the close
+//! truncates no response.
 
 mod common;
 use common::agent::Agent;
@@ -35,8 +35,9 @@
     client
 }
 
-/// Clients abandon connections faster than the agent closes idle ones. Responses have a `Connection: close`
-/// header once slot usage is high, and not before. The agent then closes the connection.
+/// Clients abandon connections faster than the agent closes idle ones. Once many connection slots are in use,
+/// and not before, responses have a `Connection: close` header, and the agent closes the connection after the
+/// response.
 #[tokio::test]
 async fn responses_close_their_connections_at_high_slot_usage() {
     let server = TestServer::responding_with("x").await;
@@ -57,7 +58,7 @@
             "the agent keeps more connections than its socket limit"
         );
     }
-    assert!(kept_clients.len() >= 5, "a connection was closed at low slot usage");
+    assert!(kept_clients.len() >= 5, "a connection was closed while few slots were in use");
 }
 
 /// While a response is being written, its connection does not count as idle and is not evicted.
@@ -71,7 +72,7 @@
     .await;
     // With a quarter of the slots in use, the agent closes connections that have been idle for 2.05 s.
     let agent = start_configured_agent(server.address, |config| {
-        config.with_long_deadlines().with_socket_limit(LOW_SOCKET_LIMIT)
+        config.with_long_timeouts().with_socket_limit(LOW_SOCKET_LIMIT)
     })
     .await;
     let mut slow_client = connect_slow_client(&agent).await;
@@ -94,7 +95,7 @@
 #[tokio::test]
 async fn a_slow_client_receives_its_response_before_the_agent_exits() {
     let server = TestServer::responding_with(&large_body()).await;
-    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_timeouts).await;
     let mut client = connect_slow_client(&agent).await;
 
     agent.send_sigterm().await;
@@ -112,7 +113,7 @@
 #[tokio::test]
 async fn a_response_is_not_truncated_by_request_bytes_that_arrive_during_the_close() {
     let server = TestServer::responding_with(&large_body()).await;
-    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_timeouts).await;
     let mut client = connect_slow_client(&agent).await;
     let client_address = client.stream.local_addr().expect("the socket should have an address");
 
--- a/crates/balancer-agent/tests/connection_pool.rs
+++ b/crates/balancer-agent/tests/connection_pool.rs
@@ -1,4 +1,5 @@
-//! Tests of the server connection pool: reuse, keep-alive limits, and connections that must not be reused.
+//! Tests of the pool of connections to servers: reuse, keep-alive limits, and connections that must not be
+//! reused.
 
 mod common;
 use common::messages::{get_request, ok_response, post_request};
--- a/crates/balancer-agent/tests/discovery_watch.rs
+++ b/crates/balancer-agent/tests/discovery_watch.rs
@@ -5,7 +5,7 @@
 use common::agent::Agent;
 use common::config::AgentConfig;
 use common::discovery::{
-    endpoint_entry, up_entry, DiscoveryBehavior, Health, TestDiscovery, NEW_INCARNATION_START_MS,
+    endpoint_entry, up_entry, DiscoveryBehaviour, Health, TestDiscovery, NEW_INCARNATION_START_MS,
 };
 use common::server::TestServer;
 use common::setup::{start_agent_with_discovery, start_watching_agent, SERVER_NAME};
@@ -13,7 +13,8 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// Each watch names the version of the last endpoint list, and a draining server gets no new requests.
+/// Each watch names the version of the last endpoint list. A draining server gets no new requests, and its
+/// idle connections are closed.
 #[tokio::test]
 async fn the_endpoint_list_is_watched_and_a_draining_server_gets_no_new_requests() {
     let mut old_server = TestServer::responding_with("old").await;
@@ -29,7 +30,7 @@
     let malformed_entry = json!({"host": 3});
     discovery.publish(2, &[draining_entry, up_entry("new", new_server.address), malformed_entry]);
 
-    // The agent makes the next call after it has applied the list.
+    // The agent makes the next call only after it has applied the list.
     assert!(discovery.next_call().await.starts_with("/v1/endpoints?after=2&wait_ms="));
     for _ in 0..20 {
         assert_eq!(agent.get("/read").await.body, b"new");
@@ -110,12 +111,12 @@
 #[tokio::test]
 async fn a_watch_with_an_error_or_no_response_is_retried() {
     let server = TestServer::responding_with("x").await;
-    let mut discovery = TestDiscovery::start(DiscoveryBehavior::Fail).await;
+    let mut discovery = TestDiscovery::start(DiscoveryBehaviour::Fail).await;
     let agent = Agent::start(&AgentConfig::new(discovery.address, &[])).await;
     discovery.next_call().await;
     discovery.next_call().await;
 
-    discovery.set_behavior(DiscoveryBehavior::Silent);
+    discovery.set_behaviour(DiscoveryBehaviour::Silent);
     discovery.next_call().await;
     // The open call gets no response, so the agent gets this list only if it retries the watch.
     discovery.publish(2, &[up_entry(SERVER_NAME, server.address)]);
@@ -125,13 +126,13 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// While no watch is open, a change of the list counts as notified as soon as discovery learns of it. The
-/// delay before the agent retries the watch is therefore shorter than the time to stop sending to a draining
-/// server, even after many failures.
+/// While no watch is open, the time to stop sending to a draining server begins when discovery lists the
+/// server as draining. The delay before the agent retries the watch is therefore shorter than that time, even
+/// after many failures.
 #[tokio::test]
 async fn the_watch_retry_delay_stays_within_the_time_to_stop_sending() {
     let server = TestServer::responding_with("x").await;
-    let mut discovery = TestDiscovery::start(DiscoveryBehavior::Fail).await;
+    let mut discovery = TestDiscovery::start(DiscoveryBehaviour::Fail).await;
     let _agent = start_agent_with_discovery(&discovery, server.address, |config| {
         config.with_stop_sending_within_ms(200)
     })
@@ -142,7 +143,8 @@
         discovery.next_call().await;
     }
 
-    // Each delay is at most 125 ms. Delays that double without a limit would add up to 8 s or more.
+    // Each delay is at most 125 ms, including the wait for the balancer's next tick. Delays that doubled
+    // without this limit would add up to 8 s or more.
     assert!(started_at.elapsed() < Duration::from_secs(6), "the retries took {:?}", started_at.elapsed());
 }
 
@@ -172,7 +174,7 @@
 
     for malformed_list in malformed_lists() {
         discovery.discard_calls();
-        discovery.set_behavior(DiscoveryBehavior::Serve(malformed_list));
+        discovery.set_behaviour(DiscoveryBehaviour::Serve(malformed_list));
         // The first call may have been in flight before, the second gets this list, and the agent makes the
         // third after it has handled the list.
         for _ in 0..3 {
--- a/crates/balancer-agent/tests/graceful_shutdown.rs
+++ b/crates/balancer-agent/tests/graceful_shutdown.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the client may open a new connection: always before SIGTERM, and for 0.3 s after it.
+    /// Returns whether the client may open a new connection: always before SIGTERM, and for 0.3 s after it.
     fn can_connect(&self) -> bool {
         self.sigterm_time.borrow().is_none_or(|time| time.elapsed() < Duration::from_millis(300))
     }
@@ -139,16 +139,17 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// All slots are in use by connections with open requests. Connections that are in the accept queue when the
-/// agent's time for new connections ends are accepted once slots are free, and get responses.
+/// All connection slots are in use by connections with open requests when the agent stops waiting for new
+/// connections. Connections that are in the accept queue then are accepted once slots are free, and get
+/// responses.
 #[tokio::test]
 async fn connections_in_the_accept_queue_are_accepted_and_get_responses() {
     let other_reply = ServerReply::KeepOpen(ok_response("x"));
     let gate = ResponseGate::default();
     let mut server = TestServer::holding_payments(&gate, ok_response("x"), other_reply).await;
     let mut agent = start_configured_agent(server.address, |config| {
-        let config = config.with_long_deadlines().with_socket_limit(LOW_SOCKET_LIMIT);
-        // With a latency objective this long, `read` requests stay queued for a long time.
+        let config = config.with_long_timeouts().with_socket_limit(LOW_SOCKET_LIMIT);
+        // With this long latency objective, `read` requests can stay queued for a long time.
         config.with_latency_objective_ms(RequestClass::Read, 30_000)
     })
     .await;
@@ -175,12 +176,12 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// Requests may have deadlines after the SIGKILL that the platform sends. Before SIGKILL, the agent fails all
-/// requests that are still open, with a 504.
+/// Requests may have deadlines after the time at which the platform sends SIGKILL. The agent responds to all
+/// requests that are still open with a 504 before that time.
 #[tokio::test]
 async fn requests_that_outlast_the_shutdown_period_get_a_504() {
     let mut server = TestServer::start(|_| ServerReply::Silent).await;
-    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_timeouts).await;
     let mut early_client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
     server.next_request().await;
 
@@ -193,7 +194,7 @@
         assert_eq!(client.receive().await.status(), 504);
         client.wait_for_close().await;
     }
-    // The responses take 3.65 s, and longer on a busy machine. The deadlines are 60 s.
+    // The responses come after 3.65 s, or later on a busy machine. The timeouts of the requests are 60 s.
     assert!(sigterm_at.elapsed() < Duration::from_secs(15), "the responses took {:?}", sigterm_at.elapsed());
     assert!(agent.wait_for_exit().await.success());
 }
@@ -219,7 +220,7 @@
 #[tokio::test]
 async fn requests_completed_after_sigterm_are_served() {
     let server = TestServer::responding_with("x").await;
-    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_timeouts).await;
     let requests = [(); 3].map(|()| post_request("/pay", "60000m", "the body"));
     let mut partial_requests = [
         PartialRequest::send(&agent, &requests[0], 0).await,
@@ -248,7 +249,7 @@
 #[tokio::test]
 async fn silent_and_idle_connections_do_not_delay_the_exit() {
     let server = TestServer::responding_with("x").await;
-    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_deadlines).await;
+    let mut agent = start_configured_agent(server.address, AgentConfig::with_long_timeouts).await;
     let mut silent_client = agent.connect().await;
     let mut idle_client = agent.connect().await;
     assert_eq!(idle_client.exchange(&get_request("/read", "60000m")).await.status(), 200);
--- a/crates/balancer-agent/tests/readiness_and_start.rs
+++ b/crates/balancer-agent/tests/readiness_and_start.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::agent::{agent_command, Agent};
 use common::config::{AgentConfig, ConfigFile};
-use common::discovery::{up_entry, DiscoveryBehavior, TestDiscovery};
+use common::discovery::{up_entry, DiscoveryBehaviour, TestDiscovery};
 use common::messages::get_request;
 use common::server::TestServer;
 use common::setup::SERVER_NAME;
@@ -30,7 +30,7 @@
 async fn an_agent_with_a_known_endpoint_list_is_ready_whatever_discovery_does() {
     let server = TestServer::responding_with("x").await;
     let silent_discovery = TestDiscovery::silent().await;
-    let failing_discovery = TestDiscovery::start(DiscoveryBehavior::Fail).await;
+    let failing_discovery = TestDiscovery::start(DiscoveryBehaviour::Fail).await;
     let refusing_address = RefusingAddress::reserve();
 
     for discovery_address in [silent_discovery.address, failing_discovery.address, refusing_address.address] {
@@ -62,7 +62,7 @@
 async fn a_killed_agent_restarts_on_its_address() {
     let server = TestServer::responding_with("x").await;
     let discovery = TestDiscovery::silent().await;
-    // No other test uses this IP address, so no other test can take the port between the two starts.
+    // No other test uses this IP address, so no other test can use the port between the two starts.
     let config = AgentConfig::new(discovery.address, &[up_entry(SERVER_NAME, server.address)])
         .with_listen_address("127.0.0.2:0");
     let mut killed_agent = Agent::start(&config).await;
--- a/crates/balancer-agent/tests/request_validation.rs
+++ b/crates/balancer-agent/tests/request_validation.rs
@@ -15,6 +15,7 @@
     status: u16,
 }
 
+/// Returns requests with an invalid, missing or inconsistent part.
 fn invalid_requests() -> Vec<InvalidRequest> {
     let valid = get_request("/read", "2000m");
     [
@@ -94,7 +95,7 @@
     assert_eq!(server.next_request().await.body, b"ab");
 }
 
-/// The agent rejects requests with an oversized head or body before it has received them completely.
+/// The agent rejects a request with an oversized head or body before it has received the complete request.
 #[tokio::test]
 async fn oversized_headers_and_bodies_are_rejected_early() {
     let server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/server_responses.rs
+++ b/crates/balancer-agent/tests/server_responses.rs
@@ -70,8 +70,8 @@
     ]
 }
 
-/// Each response fails its attempt soon, and the agent assumes that the request may have been processed. The
-/// agent closes the connection, which the server keeps open.
+/// Each of these responses fails its attempt soon. The agent assumes that the request may have been
+/// processed, and closes the connection, although the server keeps it open.
 #[tokio::test]
 async fn a_malformed_or_oversized_response_fails_its_attempt_and_closes_its_connection() {
     let responses = malformed_responses();
--- a/crates/balancer-agent/tests/timeouts.rs
+++ b/crates/balancer-agent/tests/timeouts.rs
@@ -17,9 +17,10 @@
         _ => ServerReply::KeepOpen(ok_response("x")),
     })
     .await;
-    let agent =
-        start_configured_agent(server.address, |config| config.with_deadline_ms(RequestClass::Pay, 25_000))
-            .await;
+    let agent = start_configured_agent(server.address, |config| {
+        config.with_class_timeout_ms(RequestClass::Pay, 25_000)
+    })
+    .await;
 
     let sent_at = Instant::now();
     let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
