--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -23,6 +23,7 @@
     sent_count
 }
 
+/// Concurrency limits must grow again even from one and a half.
 #[test]
 fn late_responses_lower_concurrency_and_quick_responses_restore_it() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(2));
@@ -40,7 +41,7 @@
     assert!(after_late_responses < before, "{after_late_responses} after late responses, {before} before");
     assert!(
         after_quick_responses > after_late_responses + 2,
-        "limits must grow again, even from one and a half"
+        "{after_quick_responses} after quick responses, {after_late_responses} after late responses"
     );
 }
 
--- a/crates/balancer-core/tests/retry_permissions.rs
+++ b/crates/balancer-core/tests/retry_permissions.rs
@@ -16,6 +16,7 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
+/// The deduplication window of all effects that have one.
 const DEDUPLICATION_WINDOW_MS: f64 = 100.0;
 const ZONE_COUNT: u32 = 3;
 const CELL_COUNT: u32 = 4;
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -42,6 +42,7 @@
     total: u32,
 }
 
+/// A request that has been sent, and when its attempt ends.
 struct InFlightRequest {
     id: RequestId,
     ends_at: Time,
@@ -73,6 +74,7 @@
     }
 }
 
+/// Ends the attempts of these requests with success.
 fn succeed_all(harness: &mut Harness, requests: Vec<InFlightRequest>) {
     for request in requests {
         harness.succeed(request.id, LATENCY_MS);
--- a/crates/balancer-core/tests/sparse_slow_start.rs
+++ b/crates/balancer-core/tests/sparse_slow_start.rs
@@ -26,6 +26,8 @@
     harness
 }
 
+/// Guards against a second application of the capacity share to remembered servers.
+///
 /// A balancer remembers the servers that it chose most recently, and they are candidates for later requests.
 /// The capacity share limits how often a server that is warming up is chosen and thus remembered. If the
 /// share were applied again to remembered servers, the server would be sent only the square of its share, and
@@ -94,9 +96,10 @@
 }
 
 /// Servers that are warming up are sent more than their guaranteed capacity share if they respond faster than
-/// warm servers, up to half of the load that makes them fail. Without this increase, the slower warm servers
-/// would be sent these requests. Servers that are warming up and respond more slowly than warm ones are sent
-/// no more than their share.
+/// warm servers, up to half of the load that makes them fail.
+///
+/// Without this increase, the slower warm servers would be sent these requests. Servers that are warming up
+/// and respond more slowly than warm ones are sent no more than their share.
 #[test]
 fn warming_up_servers_faster_than_warm_ones_get_more() {
     let ratio_if_faster = warming_up_request_ratio(60.0, 40.0);
--- a/crates/balancer-core/tests/sparse_view.rs
+++ b/crates/balancer-core/tests/sparse_view.rs
@@ -26,8 +26,8 @@
     assert!((2.3..3.7).contains(&ratio), "large servers were sent {ratio:.2} times as many requests");
 }
 
-/// Machines of equal weight can differ in speed. The latency of all servers of a machine kind together
-/// shows the difference sooner than the latency of a single server.
+/// Machines of equal weight can differ in speed. The latency of all servers of a machine kind together shows
+/// the difference sooner than the latency of a single server.
 #[test]
 fn load_follows_the_latency_of_a_machine_kind() {
     let mut endpoints = fleet(100);
@@ -112,10 +112,11 @@
     assert!(used_count > 50, "candidates still come from the whole fleet: {used_count} of 100 servers used");
 }
 
+/// A server that is slower than the others is forgotten, but not if all servers are slow.
+///
 /// A server that is slowed by a noisy neighbour has no more of the balancer's requests in flight than other
 /// servers. If the server stayed remembered, it would be sent more requests than its capacity allows. If all
-/// servers are slow, the server must stay remembered, because every request would open a connection
-/// otherwise.
+/// slow servers were forgotten while all servers are slow, every request would open a connection.
 #[test]
 fn relatively_slow_server_is_not_remembered() {
     const SLOW_SERVER: ServerId = ServerId(3);
