--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -44,7 +44,7 @@
 }
 
 /// A server may have processed an unsafe request if the connection breaks after the request's last byte. The
-/// agent neither retries nor rejects such a request, as the client may retry a rejected request.
+/// agent neither retries nor rejects such a request, because the client may retry a rejected request.
 #[tokio::test]
 async fn an_unsafe_request_is_not_retried_if_the_connection_breaks_after_its_last_byte() {
     assert_not_retried(ServerReply::Close(Vec::new())).await;
--- a/crates/balancer-agent/tests/client_disconnects.rs
+++ b/crates/balancer-agent/tests/client_disconnects.rs
@@ -146,8 +146,8 @@
     }
 }
 
-/// A client drops its connection while the agent's connect to the server is in progress, as the server's
-/// backlog is full.
+/// A client drops its connection while the agent's connect to the server is in progress. The connect takes so
+/// long because the server's backlog is full.
 #[tokio::test]
 async fn a_request_is_not_sent_if_its_client_drops_the_connection_during_the_connect() {
     let listener = FullBacklogListener::start().await;
--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -122,6 +122,7 @@
     }
 }
 
+/// Returns the settings object of the configuration, with the classes of [`RequestClass`].
 fn settings() -> Value {
     json!({"balancers": 1, "zone": 0, "zones": ["a", "b"], "kinds": ["m"], "discovery": "on_request",
            "classes": [class_settings("read", "idempotent"), class_settings("save", "deduplicated"),
@@ -133,6 +134,7 @@
            "rules": {"askWithinMs": 10000, "stopSendingWithinMs": 2000}, "periodMs": 1})
 }
 
+/// Returns the settings of a request class with this name and effect.
 fn class_settings(name: &str, effect: &str) -> Value {
     json!({"name": name, "aimMs": 1500, "deadlineMs": 2500, "effect": effect, "group": "all",
            "dedupWindowMs": 5000, "points": 1})
--- a/crates/balancer-agent/tests/common/discovery.rs
+++ b/crates/balancer-agent/tests/common/discovery.rs
@@ -12,6 +12,7 @@
 /// an earlier start time.
 pub const NEW_INCARNATION_START_MS: u64 = 1_700_000_000_000;
 
+/// The maximum number of calls that the test has not read. Further calls wait.
 const CHANNEL_CAPACITY: usize = 1024;
 const UNAVAILABLE_503: &[u8] = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n";
 
@@ -76,6 +77,7 @@
         }
     }
 
+    /// Returns the response to a call, or `None` if the service sends none.
     fn response(&self) -> Option<Vec<u8>> {
         match self {
             DiscoveryBehaviour::Serve(list) => Some(ok_response(&list.to_string())),
@@ -146,6 +148,7 @@
     }
 }
 
+/// Accepts connections until the test ends, and serves each connection in its own task.
 async fn accept_connections(
     listener: TcpListener,
     behaviour: watch::Sender<DiscoveryBehaviour>,
@@ -156,6 +159,7 @@
     }
 }
 
+/// Reports the calls of a connection to the test, and responds to them according to the behaviour.
 async fn serve_connection(
     mut stream: TcpStream,
     mut behaviour: watch::Receiver<DiscoveryBehaviour>,
--- a/crates/balancer-agent/tests/common/messages.rs
+++ b/crates/balancer-agent/tests/common/messages.rs
@@ -13,6 +13,7 @@
 /// A 503 response with the header that proves that the request was not processed.
 pub const NOT_PROCESSED_503: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 
+/// The bytes that end the head of a message.
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
 /// A request or a response.
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -9,6 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
 
+/// The maximum number of requests and closed connections that the test has not read.
 const CHANNEL_CAPACITY: usize = 1024;
 
 /// A gate that holds responses until the test releases them.
@@ -26,6 +27,7 @@
         self.0.notify_waiters();
     }
 
+    /// Waits until the test releases the response.
     async fn wait(&self) {
         self.0.notified().await;
     }
@@ -164,6 +166,7 @@
     closed: mpsc::Sender<usize>,
 }
 
+/// Accepts connections until the test ends, and serves each connection in its own task.
 async fn accept_connections(listener: TcpListener, accepted: Arc<AtomicUsize>, handler: ConnectionHandler) {
     while let Ok((stream, _)) = listener.accept().await {
         let number = accepted.fetch_add(1, Ordering::SeqCst);
@@ -172,6 +175,7 @@
 }
 
 impl ConnectionHandler {
+    /// Replies to the requests of a connection until the agent closes the connection.
     async fn serve(self, mut stream: TcpStream, number: usize) {
         while let Some(request) = read_message(&mut stream, number).await {
             let reply = (self.script)(&request);
--- a/crates/balancer-agent/tests/graceful_shutdown.rs
+++ b/crates/balancer-agent/tests/graceful_shutdown.rs
@@ -85,12 +85,15 @@
         self.sigterm_time.borrow().is_none_or(|time| time.elapsed() < Duration::from_millis(300))
     }
 
+    /// Sends a request over the kept connection and returns the response. Returns `None` if no connection is
+    /// kept, or if the agent closes the connection without a response.
     async fn exchange_over_kept_connection(&mut self, request: &str) -> Option<Message> {
         let stream = self.kept_connection.as_mut()?;
         let _ = stream.write_all(request.as_bytes()).await;
         within_time_limit("a response or a close", read_message(stream, 0)).await
     }
 
+    /// Sends a request over a new connection, which is then kept, and returns the response.
     async fn exchange_over_new_connection(&mut self, request: &str) -> Option<Message> {
         let mut stream =
             TcpStream::connect(self.agent_address).await.expect("the agent should accept the connection");
@@ -158,7 +161,7 @@
         clients.push(agent.send_request(&post_request("/pay", "60000m", "b")).await);
         server.next_request().await;
     }
-    // 26 requests are queued, as the server is at its estimated capacity. 4 connections are not accepted yet.
+    // The server is at its estimated capacity, so 26 requests are queued. 4 connections are not accepted yet.
     for _ in 0..26 + 4 {
         clients.push(agent.send_request(&get_request("/read", "60000m")).await);
     }
