--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -56,8 +56,8 @@
     let mut server = TestServer::responding_with("x").await;
     let discovery = TestDiscovery::silent().await;
     let refusing_address = RefusingAddress::reserve();
-    let known_entries = [up_entry("dead", refusing_address.address), up_entry("good", server.address)];
-    let agent = Agent::start(&AgentConfig::new(discovery.address, &known_entries)).await;
+    let cached_entries = [up_entry("dead", refusing_address.address), up_entry("good", server.address)];
+    let agent = Agent::start(&AgentConfig::new(discovery.address, &cached_entries)).await;
 
     for _ in 0..6 {
         let response = agent.exchange(&post_request("/pay", "2000m", "b")).await;
--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -24,13 +24,13 @@
 pub struct AgentConfig(Value);
 
 impl AgentConfig {
-    /// Creates a configuration with this discovery address and a known endpoint list of version 1 with these
+    /// Creates a configuration with this discovery address and a cached endpoint list of version 1 with these
     /// entries.
-    pub fn new(discovery: SocketAddr, known_entries: &[Value]) -> Self {
+    pub fn new(discovery: SocketAddr, cached_entries: &[Value]) -> Self {
         AgentConfig(json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "0f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"seq": 1, "whole": true, "hosts": known_entries}, "settings": settings()
+            "known": {"seq": 1, "whole": true, "hosts": cached_entries}, "settings": settings()
         }))
     }
 
@@ -46,8 +46,8 @@
         self
     }
 
-    /// Sets the version of the known endpoint list.
-    pub fn with_known_version(mut self, version: u64) -> Self {
+    /// Sets the version of the cached endpoint list.
+    pub fn with_cached_version(mut self, version: u64) -> Self {
         self.0["known"]["seq"] = version.into();
         self
     }
--- a/crates/balancer-agent/tests/common/setup.rs
+++ b/crates/balancer-agent/tests/common/setup.rs
@@ -1,4 +1,4 @@
-//! Starts an agent with one known server and the configuration that most tests use.
+//! Starts an agent with the configuration that most tests use and one server in its cached endpoint list.
 
 use super::agent::Agent;
 use super::config::AgentConfig;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The name of the only server in the agent's known endpoint list.
+/// The name of the only server in the agent's cached endpoint list.
 pub const SERVER_NAME: &str = "s";
 
 /// A socket limit of the agent that is low enough for the clients of one test to use up all connection slots.
@@ -16,8 +16,8 @@
 /// longest class timeout is 3 s or more, the agent waits for responses until well after this delay.
 pub const DELAY_PAST_ACCEPT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Starts an agent whose known endpoint list holds the server at this address. Its discovery service sends no
-/// responses.
+/// Starts an agent whose cached endpoint list holds the server at this address. Its discovery service sends
+/// no responses.
 pub async fn start_agent(server: SocketAddr) -> Agent {
     start_configured_agent(server, |config| config).await
 }
--- a/crates/balancer-agent/tests/discovery_watch.rs
+++ b/crates/balancer-agent/tests/discovery_watch.rs
@@ -93,8 +93,8 @@
     let server_name = |number: usize| format!("s{number}");
     let mut server = TestServer::responding_with("x").await;
     let mut discovery = TestDiscovery::without_updates().await;
-    let known_entries = [up_entry(&server_name(0), server.address)];
-    let agent = Agent::start(&AgentConfig::new(discovery.address, &known_entries)).await;
+    let cached_entries = [up_entry(&server_name(0), server.address)];
+    let agent = Agent::start(&AgentConfig::new(discovery.address, &cached_entries)).await;
     discovery.next_call().await;
 
     for number in 0..4 {
@@ -159,8 +159,8 @@
     ]
 }
 
-/// After a malformed or oversized list, the agent continues to use the known endpoints, uses little memory,
-/// and applies the next valid list.
+/// After a malformed or oversized list, the agent continues to use the endpoints of the last valid list, uses
+/// little memory, and applies the next valid list.
 #[tokio::test]
 async fn a_malformed_or_oversized_endpoint_list_is_ignored() {
     let old_server = TestServer::responding_with("old").await;
--- a/crates/balancer-agent/tests/readiness_and_start.rs
+++ b/crates/balancer-agent/tests/readiness_and_start.rs
@@ -24,10 +24,10 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// A restarted agent has a known endpoint list. The agent serves requests with this list even if discovery
+/// A restarted agent has a cached endpoint list. The agent serves requests with this list even if discovery
 /// does not respond, responds with errors or refuses connections.
 #[tokio::test]
-async fn an_agent_with_a_known_endpoint_list_is_ready_whatever_discovery_does() {
+async fn an_agent_with_a_cached_endpoint_list_is_ready_whatever_discovery_does() {
     let server = TestServer::responding_with("x").await;
     let silent_discovery = TestDiscovery::silent().await;
     let failing_discovery = TestDiscovery::start(DiscoveryBehaviour::Fail).await;
@@ -57,7 +57,7 @@
     }
 }
 
-/// After SIGKILL, the agent can be restarted on the same address with its known endpoint list.
+/// After SIGKILL, the agent can be restarted on the same address with its cached endpoint list.
 #[tokio::test]
 async fn a_killed_agent_restarts_on_its_address() {
     let server = TestServer::responding_with("x").await;
--- a/crates/balancer-agent/tests/reconfiguration.rs
+++ b/crates/balancer-agent/tests/reconfiguration.rs
@@ -30,8 +30,8 @@
     let mut old_discovery = TestDiscovery::without_updates().await;
     let mut new_discovery = TestDiscovery::silent().await;
     new_discovery.publish(1, &[up_entry("new", new_server.address)]);
-    let known_entries = [up_entry("old", old_server.address)];
-    let config = AgentConfig::new(old_discovery.address, &known_entries).with_known_version(50);
+    let cached_entries = [up_entry("old", old_server.address)];
+    let config = AgentConfig::new(old_discovery.address, &cached_entries).with_cached_version(50);
     let mut agent = start_agent_with_discovery_variable(&config, &old_discovery).await;
     old_discovery.next_call().await;
     let mut paying_client = agent.send_request(&post_request("/pay", "60000m", "b")).await;
