--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A request deadline that no test reaches.
-const LONG_DEADLINE_MS: u64 = 60_000;
+/// A request timeout that no test reaches.
+const LONG_TIMEOUT_MS: u64 = 60_000;
 
 /// A request class of the settings. The variants are in the order of the settings' list of classes.
 #[derive(Clone, Copy)]
@@ -24,13 +24,13 @@
 pub struct AgentConfig(Value);
 
 impl AgentConfig {
-    /// Creates a configuration with this discovery address and a known endpoint list of version 1 with these
+    /// Creates a configuration with this discovery address and a cached endpoint list of version 1 with these
     /// entries.
-    pub fn new(discovery: SocketAddr, known_entries: &[Value]) -> Self {
+    pub fn new(discovery: SocketAddr, cached_entries: &[Value]) -> Self {
         AgentConfig(json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "0f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"seq": 1, "whole": true, "hosts": known_entries}, "settings": settings()
+            "known": {"seq": 1, "whole": true, "hosts": cached_entries}, "settings": settings()
         }))
     }
 
@@ -46,8 +46,8 @@
         self
     }
 
-    /// Sets the version of the known endpoint list.
-    pub fn with_known_version(mut self, version: u64) -> Self {
+    /// Sets the version of the cached endpoint list.
+    pub fn with_cached_version(mut self, version: u64) -> Self {
         self.0["known"]["seq"] = version.into();
         self
     }
@@ -89,24 +89,24 @@
         self
     }
 
-    /// Sets the deadline of every class to [`LONG_DEADLINE_MS`].
-    pub fn with_long_deadlines(self) -> Self {
-        self.with_deadline_ms(RequestClass::Read, LONG_DEADLINE_MS)
-            .with_deadline_ms(RequestClass::Save, LONG_DEADLINE_MS)
-            .with_deadline_ms(RequestClass::Pay, LONG_DEADLINE_MS)
+    /// Sets the timeout of every class to [`LONG_TIMEOUT_MS`].
+    pub fn with_long_timeouts(self) -> Self {
+        self.with_class_timeout_ms(RequestClass::Read, LONG_TIMEOUT_MS)
+            .with_class_timeout_ms(RequestClass::Save, LONG_TIMEOUT_MS)
+            .with_class_timeout_ms(RequestClass::Pay, LONG_TIMEOUT_MS)
     }
 
-    /// Sets the deadline of requests of a class.
-    pub fn with_deadline_ms(self, class: RequestClass, milliseconds: u64) -> Self {
+    /// Sets the timeout of a class: how long its clients wait for a response in total.
+    pub fn with_class_timeout_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "deadlineMs", milliseconds)
     }
 
-    /// Sets the latency objective of requests of a class.
+    /// Sets the latency objective of a class.
     pub fn with_latency_objective_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "aimMs", milliseconds)
     }
 
-    /// Sets the time during which servers deduplicate requests of a class.
+    /// Sets the time during which servers deduplicate the requests of a class.
     pub fn with_deduplication_window_ms(self, class: RequestClass, milliseconds: u64) -> Self {
         self.with_class_setting(class, "dedupWindowMs", milliseconds)
     }
@@ -122,6 +122,7 @@
     }
 }
 
+/// Returns the settings object of the configuration, with the classes of [`RequestClass`].
 fn settings() -> Value {
     json!({"balancers": 1, "zone": 0, "zones": ["a", "b"], "kinds": ["m"], "discovery": "on_request",
            "classes": [class_settings("read", "idempotent"), class_settings("save", "deduplicated"),
@@ -133,6 +134,7 @@
            "rules": {"askWithinMs": 10000, "stopSendingWithinMs": 2000}, "periodMs": 1})
 }
 
+/// Returns the settings of a request class with this name and effect.
 fn class_settings(name: &str, effect: &str) -> Value {
     json!({"name": name, "aimMs": 1500, "deadlineMs": 2500, "effect": effect, "group": "all",
            "dedupWindowMs": 5000, "points": 1})
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -9,9 +9,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
 
+/// The maximum number of requests and closed connections that the test has not read.
 const CHANNEL_CAPACITY: usize = 1024;
 
-/// Holds responses until the test releases them.
+/// A gate that holds responses until the test releases them.
 #[derive(Clone, Default)]
 pub struct ResponseGate(Arc<Notify>);
 
@@ -26,6 +27,7 @@
         self.0.notify_waiters();
     }
 
+    /// Waits until the test releases the response.
     async fn wait(&self) {
         self.0.notified().await;
     }
@@ -34,18 +36,19 @@
 /// How a test server replies to a request.
 #[derive(Clone)]
 pub enum ServerReply {
-    /// Sends these bytes and keeps the connection open.
+    /// The server sends these bytes and keeps the connection open.
     KeepOpen(Vec<u8>),
-    /// Sends these bytes and shuts down the server's write half of the connection.
+    /// The server sends these bytes and shuts down its write half of the connection.
     Close(Vec<u8>),
-    /// Sends these bytes once the gate releases them, and keeps the connection open.
+    /// The server sends these bytes once the gate releases them, and keeps the connection open.
     WhenReleased(ResponseGate, Vec<u8>),
-    /// Sends nothing and keeps the connection open.
+    /// The server sends nothing and keeps the connection open.
     Silent,
 }
 
 impl ServerReply {
-    /// Sends the reply. Write errors are ignored, as the test checks what the agent has received.
+    /// Sends the reply. Write errors are ignored, because the agent may have closed the connection, and the
+    /// test checks what the agent has received.
     async fn send(self, stream: &mut TcpStream) {
         match self {
             ServerReply::KeepOpen(bytes) => stream.write_all(&bytes).await.unwrap_or(()),
@@ -75,7 +78,7 @@
 }
 
 impl TestServer {
-    /// Starts a server that replies to each request with the result of `script`.
+    /// Starts a server that sends the reply that `script` returns for each request.
     pub async fn start(script: impl Fn(&Message) -> ServerReply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port should be free");
         let address = listener.local_addr().expect("the listener should have an address");
@@ -136,7 +139,8 @@
             .expect("the test server should be running")
     }
 
-    /// Whether a request has been received that the test has not read. The request is removed from the queue.
+    /// Returns whether a request has been received that the test has not read. Removes the request from the
+    /// queue.
     pub fn has_unread_request(&mut self) -> bool {
         self.requests.try_recv().is_ok()
     }
@@ -154,7 +158,7 @@
     }
 }
 
-/// Handles the connections of a server. Each connection is served by a clone of the handler.
+/// A handler of the connections to a server. Each connection is served by a clone of the handler.
 #[derive(Clone)]
 struct ConnectionHandler {
     script: Arc<dyn Fn(&Message) -> ServerReply + Send + Sync>,
@@ -162,6 +166,7 @@
     closed: mpsc::Sender<usize>,
 }
 
+/// Accepts connections until the test ends, and serves each connection in its own task.
 async fn accept_connections(listener: TcpListener, accepted: Arc<AtomicUsize>, handler: ConnectionHandler) {
     while let Ok((stream, _)) = listener.accept().await {
         let number = accepted.fetch_add(1, Ordering::SeqCst);
@@ -170,6 +175,7 @@
 }
 
 impl ConnectionHandler {
+    /// Replies to the requests of a connection until the agent closes the connection.
     async fn serve(self, mut stream: TcpStream, number: usize) {
         while let Some(request) = read_message(&mut stream, number).await {
             let reply = (self.script)(&request);
--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -6,8 +6,8 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// Submits requests until one is queued, and ends all of them with success after `elapsed_ms`. Returns how
-/// many were sent immediately.
+/// Submits requests until one is queued, and ends those that are sent with success after `elapsed_ms`.
+/// Returns how many were sent immediately.
 fn fill_and_succeed(harness: &mut Harness, elapsed_ms: f64) -> usize {
     let FilledServers { sent, unsent: queued } = harness.fill_servers();
     let sent_count = sent.len();
@@ -23,6 +23,7 @@
     sent_count
 }
 
+/// Concurrency limits must grow again even from one and a half.
 #[test]
 fn late_responses_lower_concurrency_and_quick_responses_restore_it() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(2));
@@ -40,7 +41,7 @@
     assert!(after_late_responses < before, "{after_late_responses} after late responses, {before} before");
     assert!(
         after_quick_responses > after_late_responses + 2,
-        "limits must grow again, even from one and a half"
+        "{after_quick_responses} after quick responses, {after_late_responses} after late responses"
     );
 }
 
@@ -72,7 +73,7 @@
 }
 
 impl FullServers {
-    /// Rejects the attempts that these actions send, and the retries that follow the rejections.
+    /// Rejects the attempts that these actions send, and all retries that follow the rejections.
     fn reject_all(&mut self, mut pending_actions: Vec<Action>) {
         while let Some(action) = pending_actions.pop() {
             let Action::Send { request, .. } = action else { continue };
--- a/crates/balancer-core/tests/slow_start.rs
+++ b/crates/balancer-core/tests/slow_start.rs
@@ -42,6 +42,7 @@
     total: u32,
 }
 
+/// A request that has been sent, and when its attempt ends.
 struct InFlightRequest {
     id: RequestId,
     ends_at: Time,
@@ -73,6 +74,7 @@
     }
 }
 
+/// Ends the attempts of these requests with success.
 fn succeed_all(harness: &mut Harness, requests: Vec<InFlightRequest>) {
     for request in requests {
         harness.succeed(request.id, LATENCY_MS);
@@ -153,7 +155,7 @@
 /// A server without a start time is warm, even if the clock starts near the epoch.
 #[test]
 fn clock_near_zero_puts_no_server_in_slow_start() {
-    let mut balancer = Balancer::new(settings(), 1).expect("usable settings");
+    let mut balancer = Balancer::new(settings(), 1).expect("valid settings");
     let mut actions = Vec::new();
     balancer.start(Time::EPOCH, &mut actions);
     let endpoints = Event::Endpoints(EndpointUpdate::Complete(fleet(2)));
