--- a/crates/balancer-agent/src/driver.rs
+++ b/crates/balancer-agent/src/driver.rs
@@ -121,7 +121,7 @@
         let request = Rc::new(request);
         let time_left = self.clock.time_of(request.deadline).since(self.clock.now());
         let submitted = self.requests.borrow_mut().open(request.clone());
-        self.handle_event(Event::Request(request.for_balancer(submitted.id, time_left)));
+        self.handle_event(Event::Request(request.to_balancer_request(submitted.id, time_left)));
         submitted
     }
 
--- a/crates/balancer-agent/src/request.rs
+++ b/crates/balancer-agent/src/request.rs
@@ -34,7 +34,7 @@
 
 impl ClientRequest {
     /// Converts the request to the balancer's type. `time_left` is the time left until the deadline.
-    pub fn for_balancer(&self, id: RequestId, time_left: Span) -> balancer_core::Request {
+    pub fn to_balancer_request(&self, id: RequestId, time_left: Span) -> balancer_core::Request {
         balancer_core::Request {
             id,
             class: self.class,
