--- a/crates/balancer-core/src/balancer/sending.rs
+++ b/crates/balancer-core/src/balancer/sending.rs
@@ -48,7 +48,7 @@
             settings: &self.settings,
             fleet: &self.fleet,
             latency: &self.latency,
-            admission: self.admission.probability(),
+            admission_probability: self.admission.probability(),
             slow_start: &self.slow_start,
             suspicion: &self.suspicion,
             load_reports: &self.load_reports,
--- a/crates/balancer-core/src/balancer/tests.rs
+++ b/crates/balancer-core/src/balancer/tests.rs
@@ -97,5 +97,5 @@
 
     assert!(balancer.fleet.all_states().all(|server| server.in_flight == 0));
     let newest = &balancer.fleet[balancer.fleet.find(ServerId(29)).expect("the server is listed")];
-    assert_eq!((newest.latency.samples(), newest.endpoint.server), (0, ServerId(29)));
+    assert_eq!((newest.latency.sample_count(), newest.endpoint.server), (0, ServerId(29)));
 }
--- a/crates/balancer-core/src/policy.rs
+++ b/crates/balancer-core/src/policy.rs
@@ -8,7 +8,7 @@
 //! actions. The state that a component keeps for each server is a type of its own, stored in a field of
 //! [`fleet::ServerState`].
 //!
-//! The deploy file lists every file of this module under `policy`.
+//! The deploy file, deploy/balancer.toml, lists every file of this module under `policy`.
 
 pub mod admission;
 pub mod concurrency;
--- a/crates/balancer-core/src/policy/latency.rs
+++ b/crates/balancer-core/src/policy/latency.rs
@@ -29,7 +29,7 @@
     /// Smoothed latency ratio.
     ratio: f64,
     /// Number of samples recorded.
-    samples: u32,
+    sample_count: u32,
     /// Smoothed ratio of the latency of an attempt to the typical latency of its class. The average falls
     /// faster than it rises, so that it shows how slow the machine is without congestion.
     relative_slowness: f64,
@@ -37,14 +37,14 @@
 
 impl Default for ServerLatency {
     fn default() -> Self {
-        ServerLatency { ratio: 0.0, samples: 0, relative_slowness: 1.0 }
+        ServerLatency { ratio: 0.0, sample_count: 0, relative_slowness: 1.0 }
     }
 }
 
 impl ServerLatency {
     /// Creates the latency of a server whose earlier samples are discarded, with `ratio` as its only sample.
-    pub fn restarted(ratio: LatencyRatio) -> Self {
-        ServerLatency { ratio: ratio.value(), samples: 1, relative_slowness: 1.0 }
+    pub fn from_sample(ratio: LatencyRatio) -> Self {
+        ServerLatency { ratio: ratio.value(), sample_count: 1, relative_slowness: 1.0 }
     }
 
     /// Returns the smoothed latency ratio; 0 without samples.
@@ -54,8 +54,8 @@
 
     /// Returns the number of samples recorded since the server started, or since its earlier samples were
     /// discarded.
-    pub fn samples(&self) -> u32 {
-        self.samples
+    pub fn sample_count(&self) -> u32 {
+        self.sample_count
     }
 
     /// Returns how slow the server's machine is: 1 is typical, and 2 means twice the typical latency.
@@ -65,12 +65,12 @@
 
     /// Records the latency ratio of an attempt.
     fn record(&mut self, ratio: f64) {
-        if self.samples == 0 {
+        if self.sample_count == 0 {
             self.ratio = ratio;
         } else {
             update_recent_average(&mut self.ratio, ratio);
         }
-        self.samples += 1;
+        self.sample_count += 1;
     }
 }
 
@@ -149,7 +149,7 @@
     /// For an unknown machine kind the median of the fleet is used.
     pub fn expected_ratio(&self, machine_kind: MachineKindId, server: &ServerLatency) -> LatencyRatio {
         let kind_ratio = self.machine_kinds.get(&machine_kind).map_or(self.median_ratio, |kind| kind.ratio);
-        let server_weight = f64::from(server.samples).min(MAX_SERVER_WEIGHT);
+        let server_weight = f64::from(server.sample_count).min(MAX_SERVER_WEIGHT);
         let ratio = (kind_ratio * MACHINE_KIND_WEIGHT + server.ratio * server_weight)
             / (MACHINE_KIND_WEIGHT + server_weight);
         LatencyRatio::new(ratio.max(MIN_RATIO))
@@ -181,7 +181,7 @@
     /// Recomputes the median from the servers that have samples. Keeps the old median if no server has
     /// samples.
     pub fn refresh_median<'a>(&mut self, servers: impl Iterator<Item = &'a ServerLatency>) {
-        let sampled = servers.filter(|server| server.samples > 0);
+        let sampled = servers.filter(|server| server.sample_count > 0);
         let median = median(sampled.map(|server| server.ratio));
         self.median_ratio = median.unwrap_or(self.median_ratio).max(MIN_RATIO);
     }
--- a/crates/balancer-core/src/policy/latency/tests.rs
+++ b/crates/balancer-core/src/policy/latency/tests.rs
@@ -11,7 +11,7 @@
 /// Recomputes the median from servers with these latency ratios.
 fn refresh_median(fleet: &mut FleetLatency, ratios: &[f64]) {
     let servers: Vec<ServerLatency> =
-        ratios.iter().map(|&ratio| ServerLatency::restarted(LatencyRatio::new(ratio))).collect();
+        ratios.iter().map(|&ratio| ServerLatency::from_sample(LatencyRatio::new(ratio))).collect();
     fleet.refresh_median(servers.iter());
 }
 
@@ -58,11 +58,11 @@
     let mut server = ServerLatency::default();
 
     fleet.record_sample(KIND, LatencyRatio::new(0.5), &mut server);
-    assert_eq!((server.ratio, server.samples), (0.5, 1));
+    assert_eq!((server.ratio, server.sample_count), (0.5, 1));
 
     fleet.record_sample(KIND, LatencyRatio::new(1.0), &mut server);
     assert_close(server.ratio, 0.5 + 0.12 * 0.5);
-    assert_eq!(server.samples, 2);
+    assert_eq!(server.sample_count, 2);
 }
 
 #[test]
@@ -85,7 +85,7 @@
 #[test]
 fn samples_of_a_server_outweigh_its_machine_kind_by_two_to_one_at_most() {
     let fleet = FleetLatency::new(1);
-    let server = |samples| ServerLatency { ratio: 0.8, samples, relative_slowness: 1.0 };
+    let server = |sample_count| ServerLatency { ratio: 0.8, sample_count, relative_slowness: 1.0 };
 
     assert_close(fleet.expected_ratio(KIND, &server(4)).value(), 0.5 * 0.2 + 0.5 * 0.8);
     assert_close(fleet.expected_ratio(KIND, &server(8)).value(), (0.2 + 2.0 * 0.8) / 3.0);
@@ -99,7 +99,7 @@
     refresh_median(&mut fleet, &[0.0]);
 
     assert_eq!(fleet.median_ratio, 0.01);
-    let fast = ServerLatency { ratio: 0.0, samples: 100, relative_slowness: 1.0 };
+    let fast = ServerLatency { ratio: 0.0, sample_count: 100, relative_slowness: 1.0 };
     assert_eq!(fleet.expected_ratio(KIND, &fast).value(), 0.01);
 }
 
--- a/crates/balancer-core/src/policy/outlier/detection.rs
+++ b/crates/balancer-core/src/policy/outlier/detection.rs
@@ -48,7 +48,9 @@
 /// also above the target. A server with few samples is never slow.
 fn is_slow(latency: &ServerLatency, median: LatencyRatio) -> bool {
     let max_ratio = OUTLIER_FACTOR * median.value();
-    latency.samples() >= MIN_SAMPLES && latency.ratio().value() > max_ratio && latency.ratio() > TARGET_RATIO
+    latency.sample_count() >= MIN_SAMPLES
+        && latency.ratio().value() > max_ratio
+        && latency.ratio() > TARGET_RATIO
 }
 
 /// Returns whether a server has failed often enough to be ejected or suspected.
@@ -93,7 +95,7 @@
     let max_ratio = OUTLIER_FACTOR * median.value().max(MIN_MEDIAN_RATIO);
     if probe.outcome == Outcome::Success && probe.ratio.value() < max_ratio {
         server.health.recover();
-        server.latency = ServerLatency::restarted(probe.ratio);
+        server.latency = ServerLatency::from_sample(probe.ratio);
     } else {
         server.health.record_probe_failure(now);
     }
--- a/crates/balancer-core/src/policy/routing/context.rs
+++ b/crates/balancer-core/src/policy/routing/context.rs
@@ -20,7 +20,7 @@
     /// The latencies of request classes and machine kinds.
     pub latency: &'a FleetLatency,
     /// The current admission probability, which also scales the concurrency limits.
-    pub admission: Probability,
+    pub admission_probability: Probability,
     /// The recent work and the latencies of warm servers and of servers that are warming up.
     pub slow_start: &'a SlowStart,
     /// Which servers and zones are suspected.
--- a/crates/balancer-core/src/policy/routing/eligibility.rs
+++ b/crates/balancer-core/src/policy/routing/eligibility.rs
@@ -35,7 +35,7 @@
         if self.slow_start.exceeds_share(&server.warm_up_work, capacity_share, request.work, self.now) {
             return false;
         }
-        let scale = LimitScale { admission_probability: self.admission, capacity_share };
+        let scale = LimitScale { admission_probability: self.admission_probability, capacity_share };
         server.limit.has_capacity(self.now, server.in_flight, &scale)
     }
 }
--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -39,7 +39,7 @@
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Returns whether the watch is to be reopened at `now`. If so, the schedule is cleared, and the caller
+    /// Returns whether the watch is to be reopened at `now`. If so, the schedule is cleared, and the host
     /// must reopen the watch.
     pub fn take_due(&mut self, now: Time) -> bool {
         self.retry_at.take_if(|at| now >= *at).is_some()
