--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -34,13 +34,14 @@
         self.backoff = (self.backoff * BACKOFF_FACTOR).min(max_backoff);
     }
 
-    /// Resets the delay to its minimum. Called when an endpoint list has arrived.
+    /// Resets the delay to its minimum. The [`Balancer`](crate::Balancer) calls this when the endpoint list or
+    /// changes of it have arrived.
     pub fn reset_backoff(&mut self) {
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Returns whether the watch is to be reopened at `now`. If so, the schedule is cleared, and the host
-    /// must reopen the watch.
+    /// Returns whether the watch is to be reopened at `now`, and clears the schedule if so. The
+    /// [`Balancer`](crate::Balancer) then has its host reopen the watch.
     pub fn take_due(&mut self, now: Time) -> bool {
         self.retry_at.take_if(|at| now >= *at).is_some()
     }
