--- a/crates/balancer-core/src/policy/routing/candidates.rs
+++ b/crates/balancer-core/src/policy/routing/candidates.rs
@@ -7,7 +7,7 @@
 use crate::policy::fleet::{FleetView, ServerIndex};
 use fastrand::Rng;
 
-/// Maximum number of servers that are drawn at random for each wanted candidate.
+/// Maximum number of random draws for a request, as a multiple of [`SampleSize::draws`].
 ///
 /// A drawn server that is not eligible is discarded (rejection sampling). The limit keeps the cost of the
 /// draws independent of the size of the fleet.
@@ -63,7 +63,7 @@
             if !self.context.is_eligible_and_untried(server, self.request) {
                 continue;
             }
-            // A remembered server passed slow start when it was first chosen. With a second check, it would
+            // A remembered server passed slow start when it was first selected. With a second check, it would
             // be sent requests in proportion to the square of its capacity share. While candidates are
             // polled, remembered servers are checked too.
             let has_passed = self.memory.contains(server) && !self.context.load_polling.is_enabled();
--- a/crates/balancer-core/src/policy/routing/memory.rs
+++ b/crates/balancer-core/src/policy/routing/memory.rs
@@ -1,24 +1,27 @@
-//! The memory of the routing rule: the servers chosen most recently, and the last server of each routing key.
+//! The memory of the routing rule: the servers selected most recently, and the last server of each routing
+//! key.
 
 use crate::policy::fleet::ServerIndex;
 use crate::RoutingKey;
 use std::collections::BTreeMap;
 
-/// Maximum number of remembered routing keys. When it is reached, all keys are forgotten; each of them then
-/// costs one request that a server serves without cached data.
+/// Maximum number of remembered routing keys.
+///
+/// When this number is reached, the next request with a routing key causes all keys to be forgotten. Each
+/// forgotten key costs one request that a server serves without cached data.
 const MAX_ROUTING_KEYS: usize = 10_000;
 
-/// The servers that were chosen most recently, and the server that each routing key was last sent to.
+/// The servers that were selected most recently, and the server that each routing key was last sent to.
 #[derive(Default)]
 pub struct ServerMemory {
-    /// The remembered servers, most recently chosen first, each once.
+    /// The remembered servers, most recently selected first, each once.
     servers: Vec<ServerIndex>,
     /// The server that each routing key was last sent to.
     server_by_key: BTreeMap<RoutingKey, ServerIndex>,
 }
 
 impl ServerMemory {
-    /// Returns the remembered servers, most recently chosen first.
+    /// Returns the remembered servers, most recently selected first.
     pub fn servers(&self) -> &[ServerIndex] {
         &self.servers
     }
@@ -39,8 +42,8 @@
         self.server_by_key.len()
     }
 
-    /// Remembers the chosen server as the most recent one. If more than `capacity` servers are remembered,
-    /// forgets and returns the least recently chosen ones.
+    /// Remembers the selected server as the most recent one. If more than `capacity` servers are then
+    /// remembered, forgets and returns the least recently selected ones.
     pub fn remember(&mut self, server: ServerIndex, capacity: usize) -> Vec<ServerIndex> {
         self.forget(server);
         self.servers.insert(0, server);
--- a/crates/balancer-core/src/policy/routing/sample.rs
+++ b/crates/balancer-core/src/policy/routing/sample.rs
@@ -5,9 +5,9 @@
 /// The number of servers that are compared for each request.
 #[derive(Debug, Clone, Copy)]
 pub struct SampleSize {
-    /// Number of remembered servers (the paper's m).
+    /// Maximum number of remembered servers: m in the (d, m) policy.
     pub remembered: usize,
-    /// Number of servers drawn uniformly at random (the paper's d, which must not be below m).
+    /// Number of servers drawn uniformly at random: d in the (d, m) policy, which must not be below m.
     pub draws: usize,
 }
 
--- a/crates/balancer-core/src/policy/routing/selection.rs
+++ b/crates/balancer-core/src/policy/routing/selection.rs
@@ -10,7 +10,7 @@
 /// Increase of the cross-zone factor and the open-connection factor for each percent of a request's value
 /// that a zone crossing or a handshake costs.
 const FACTOR_INCREASE_PER_PERCENT: f64 = 0.25;
-/// Converts a fraction to percent.
+/// Factor that converts a fraction to percent.
 const PERCENT_FACTOR: f64 = 100.0;
 /// Upper bound of the factor on the load of a server in another zone.
 ///
@@ -29,10 +29,10 @@
 /// Exponent of the latency ratio by which estimated capacity is divided. With an exponent of 1, slow servers
 /// time out while fast servers idle.
 const LATENCY_EXPONENT: i32 = 3;
-/// Time constant of the exponential decay of a load report's weight.
+/// Time constant of the exponential decay of a load report's weight, in milliseconds.
 const REPORT_DECAY_MS: f64 = 2000.0;
-/// Factor on the slowness of the last server of a routing key, so that this server is chosen unless it is
-/// clearly more loaded than the other candidates.
+/// Factor on the slowness of the last server of a routing key, so that this server is selected unless it
+/// is clearly more loaded than the other candidates.
 const KEY_SERVER_FACTOR: f64 = 0.7;
 /// Exponent of a server's relative slowness in its load. The slowness sensitivity of the request multiplies
 /// the exponent.
@@ -117,8 +117,9 @@
 
     /// Returns the tie-break weight of a server, which grows with its estimated capacity.
     ///
-    /// The estimated capacity is the listed size divided by the expected load and latency. The weight of a
-    /// suspected server is reduced.
+    /// The estimated capacity is the listed size, divided by the expected load plus one and by the expected
+    /// latency ratio raised to [`LATENCY_EXPONENT`]. The weight is the estimated capacity raised to
+    /// [`CAPACITY_EXPONENT`], and multiplied by [`SUSPECTED_WEIGHT_FACTOR`] for a suspected server.
     fn capacity_weight(&self, server: &ServerState) -> f64 {
         let context = self.context;
         let size = listed_size(context.settings, server);
