--- a/crates/balancer-core/src/balancer/endpoints.rs
+++ b/crates/balancer-core/src/balancer/endpoints.rs
@@ -58,8 +58,8 @@
         polled.chain(attempts.map(|attempt| attempt.server)).collect()
     }
 
-    /// Recomputes the capacity of the serving servers, in units of one warm server, and passes it to slow
-    /// start and admission control.
+    /// Recomputes the capacity shares of the serving servers. Passes them to slow start, and their sum, which
+    /// is the capacity of the serving fleet, to admission control.
     pub(super) fn refresh_capacity(&mut self) {
         let share_of = |endpoint| capacity_share(&self.settings, endpoint, self.now);
         let serving = self.fleet.serving_states();
--- a/crates/balancer-core/src/balancer/feedback.rs
+++ b/crates/balancer-core/src/balancer/feedback.rs
@@ -35,8 +35,8 @@
         self.eject_if_outlier(attempt, result);
     }
 
-    /// Records an outcome for the health and suspicion of its server and for the network link to its zone.
-    /// Also records the latency ratio if the attempt was a success.
+    /// Records an outcome for the health and suspicion of the server, and for the network link to the
+    /// server's zone. Also records the latency ratio of a success, for the class and the server.
     fn record_outcome(&mut self, attempt: &InFlightAttempt, outcome: Outcome, ratio: LatencyRatio) {
         let server = &mut self.fleet[attempt.server];
         server.health.record(self.now, outcome);
--- a/crates/balancer-core/src/balancer/health.rs
+++ b/crates/balancer-core/src/balancer/health.rs
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Handles gossip: suspects the server that the message names, and removes it from the router's memory.
+    /// Handles gossip: suspects the server that the message names, and removes all suspected servers from
+    /// the router's memory.
     pub(super) fn receive_gossip(&mut self, payload: &[u8]) {
         if receive_gossip(payload, self.now, &mut self.fleet).is_none() {
             return;
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Counts each attempt in flight that has just become slow as a late attempt for admission control.
+    /// Notifies admission control of each attempt in flight that has just become slow, before the attempt
+    /// ends.
     fn count_slow_attempts(&mut self) {
         let newly_slow = mark_slow_attempts(&mut self.in_flight, &self.settings, self.now);
         for _ in 0..newly_slow {
--- a/crates/balancer-core/src/balancer/requests.rs
+++ b/crates/balancer-core/src/balancer/requests.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Sends the queued requests for which a server is eligible. Finishes those that have waited too long
-    /// without serving them.
+    /// Sends the queued requests for which a server is eligible. Requests that have waited too long are
+    /// finished unserved instead.
     pub(super) fn drain_queue(&mut self) {
         if self.queue.is_empty() {
             return;
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -5,8 +5,8 @@
 //! opens a socket or starts a thread.
 //!
 //! For each request, the balancer draws a few servers uniformly at random and adds a few that it selected
-//! before. From these candidates it selects the least loaded one, above all by the number of its own requests
-//! in flight.
+//! before. The request is sent to the least loaded of these candidates. The load of a candidate is above all
+//! the number of requests that this balancer itself has in flight there.
 //!
 //! ```
 //! use balancer_core::*;
