--- a/crates/balancer-core/src/policy/admission.rs
+++ b/crates/balancer-core/src/policy/admission.rs
@@ -2,7 +2,7 @@
 //!
 //! In a dense view the admission probability scales the concurrency limits of all servers. A balancer has few
 //! attempts at each server but many at the whole fleet, so the admission probability reacts to an overload of
-//! most servers within a few round trips. The limits of single servers would take half a minute.
+//! most servers within a few round trips. The limits of single servers would need half a minute to react.
 //!
 //! In a sparse view limits per server have no effect, and requests are admitted at random with the admission
 //! probability.
@@ -42,7 +42,7 @@
     view: FleetView,
     /// Number of balancers that share the fleet.
     balancer_count: u32,
-    /// Capacity of the serving fleet, in warm servers; 0 until it is known.
+    /// Capacity of the serving fleet, in units of the capacity of a warm server; 0 until it is known.
     fleet_capacity: f64,
 }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Updates the capacity of the serving fleet, in warm servers.
+    /// Updates the capacity of the serving fleet, in units of the capacity of a warm server.
     ///
     /// In a sparse view the probability changes in proportion to the capacity: the endpoint list shows that
     /// the fleet has shrunk before any server is slow, and a fleet that warms up can serve more
--- a/crates/balancer-core/src/policy/concurrency.rs
+++ b/crates/balancer-core/src/policy/concurrency.rs
@@ -55,7 +55,8 @@
     limit: f64,
     /// When the last attempt ended.
     last_attempt_ended_at: Time,
-    /// Latency of the last attempt, or the latency objective if the server has rejected the attempt.
+    /// Latency of the last attempt, or the latency objective if the server has rejected the attempt, in
+    /// milliseconds.
     last_latency_ms: f64,
     /// When the backoff after the last rejection ends. The server is sent no attempt before this time.
     backoff_until: Time,
--- a/crates/balancer-core/src/policy/deadline/timeliness.rs
+++ b/crates/balancer-core/src/policy/deadline/timeliness.rs
@@ -28,9 +28,10 @@
 }
 
 impl Timeliness<'_> {
-    /// Returns whether a response would come too late to have any value if the request were sent now. If
-    /// late responses have a value, the deadline of the request counts, and its objective deadline
-    /// otherwise.
+    /// Returns whether a response would come too late to have any value if the request were sent now.
+    ///
+    /// If late responses have a value, a response must come before the deadline of the request. Otherwise it
+    /// must come before the objective deadline.
     pub fn is_too_late(&self, active: &ActiveRequest) -> bool {
         let class = self.settings.class(active.class());
         let typical_ratio = self.latency.typical_ratio(active.class()).value();
--- a/crates/balancer-core/src/policy/feedback.rs
+++ b/crates/balancer-core/src/policy/feedback.rs
@@ -9,12 +9,14 @@
 /// The latency ratio of an attempt that shows nothing about the load of its server.
 pub const UNINFORMATIVE_RATIO: LatencyRatio = LatencyRatio::new(0.0);
 
-/// Returns the latency ratio that an ended attempt counts as. All late responses count the same.
+/// Returns the latency ratio that is recorded for an ended attempt.
 ///
-/// An attempt without a response whose server responded quickly to other requests shows nothing about the
-/// load, because only its connection was lost (docs/findings/lost-answers.md). Any other attempt that timed
-/// out or was cancelled counts as late: a cancelled one may still be queued at the server. A rejected
-/// attempt counts as late too. An error or a broken connection shows nothing about the load.
+/// - A success has its actual ratio, but at most [`LATE_RATIO`]: all late responses count the same.
+/// - A rejected attempt counts as late.
+/// - An attempt that timed out or was cancelled counts as late, because it may still be queued at the server.
+///   If the server responded quickly to other requests in the meantime, only the connection of the attempt
+///   was lost, and the attempt shows nothing about the load (docs/findings/lost-answers.md).
+/// - An error, a failed or broken connection, or an attempt that was never sent shows nothing about the load.
 pub fn observed_ratio(
     settings: &Settings,
     server: &ServerState,
@@ -36,7 +38,8 @@
 }
 
 /// Returns whether an attempt without a response has probably lost its connection: the server has responded
-/// to other attempts since this one was sent, and its smoothed latency is below the target.
+/// to other attempts since this one was sent, and the smoothed latency ratio of the server is below the
+/// target.
 fn is_connection_lost(server: &ServerState, attempt: &InFlightAttempt) -> bool {
     server.health.has_responded_after(attempt.sent_at) && server.latency.ratio() < TARGET_RATIO
 }
--- a/crates/balancer-core/src/policy/fleet/registry.rs
+++ b/crates/balancer-core/src/policy/fleet/registry.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// How long the state of a removed server is kept. A server that is missing from a list by mistake soon
-/// returns and should not lose its state.
+/// Minimum time for which the state of a removed server is kept. A server that an endpoint list omits by
+/// mistake is soon listed again, and should then still have its state.
 const REMOVED_RETENTION: Span = Span::from_secs(10);
 
 /// The position of a server in the registry. An index is valid until its server is forgotten.
--- a/crates/balancer-core/src/policy/latency.rs
+++ b/crates/balancer-core/src/policy/latency.rs
@@ -88,7 +88,7 @@
 struct MachineKindLatency {
     /// Moving average of the latency ratio.
     ratio: f64,
-    /// Number of samples in the average, with the initial value as one of them.
+    /// Number of samples in the average, up to [`MAX_MACHINE_KIND_SAMPLES`]. The initial value counts as one.
     samples: f64,
 }
 
@@ -146,7 +146,7 @@
     /// Returns the expected latency ratio of a server: the weighted mean of the average of its machine kind
     /// and the server's own average, whose weight grows with the number of its samples.
     ///
-    /// For an unknown machine kind the median of the fleet is used.
+    /// For an unknown machine kind, the median of the fleet replaces the average of the machine kind.
     pub fn expected_ratio(&self, machine_kind: MachineKindId, server: &ServerLatency) -> LatencyRatio {
         let kind_ratio = self.machine_kinds.get(&machine_kind).map_or(self.median_ratio, |kind| kind.ratio);
         let server_weight = f64::from(server.sample_count).min(MAX_SERVER_WEIGHT);
--- a/crates/balancer-core/src/policy/outlier/detection.rs
+++ b/crates/balancer-core/src/policy/outlier/detection.rs
@@ -10,7 +10,8 @@
 /// Multiple of the fleet's median latency ratio above which a server is slow. Below this multiple, no
 /// ejection is needed: the balancer's own counts of attempts in flight shift the load to other servers.
 const OUTLIER_FACTOR: f64 = 3.0;
-/// Lower bound of the fleet's median latency ratio where the latency ratio of a probe is compared with it.
+/// Lower bound of the median latency ratio that the latency ratio of a probe is compared with. A lower
+/// median of the fleet counts as this value.
 const MIN_MEDIAN_RATIO: f64 = 0.1;
 /// Latency samples needed before a server can be ejected as slow, so that a single costly request does not
 /// cause an ejection.
--- a/crates/balancer-core/src/policy/outlier/detection/tests.rs
+++ b/crates/balancer-core/src/policy/outlier/detection/tests.rs
@@ -10,7 +10,7 @@
 /// the ejection ends if the probe succeeds with this latency ratio.
 fn ends_ejection(ratio: f64) -> bool {
     let mut fleet = ServerRegistry::new();
-    // Five servers: the only server of a fleet is never ejected.
+    // The fleet has five servers, because the only server of a fleet is never ejected.
     fleet.update(NOW, (1..6).map(|id| Endpoint::serving(ServerId(id))).collect(), true);
     fleet.refresh_serving();
     let server = fleet.find(SERVER).expect("the server is listed");
--- a/crates/balancer-core/src/policy/outlier/health.rs
+++ b/crates/balancer-core/src/policy/outlier/health.rs
@@ -23,7 +23,7 @@
     /// Returns the health of a server that has just started a new process.
     ///
     /// The time of the last response is kept, because attempts to the previous process may still be in
-    /// flight. Whether the server has responded since such an attempt was sent is decided by that time.
+    /// flight. That time shows whether the server has responded since such an attempt was sent.
     pub fn restarted(&self) -> Self {
         ServerHealth::new(self.last_response_at)
     }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the number of failures since the last success.
+    /// Returns the number of failures since the last success or the end of the last ejection.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
--- a/crates/balancer-core/src/policy/overdue.rs
+++ b/crates/balancer-core/src/policy/overdue.rs
@@ -50,6 +50,7 @@
         in_flight.iter().filter_map(|(key, attempt)| self.check(key, attempt)).collect()
     }
 
+    /// Returns the attempt if it is overdue and its server is silent or responds quickly to other requests.
     fn check(&self, key: AttemptKey, attempt: &InFlightAttempt) -> Option<OverdueAttempt> {
         let server = &self.fleet[attempt.server];
         let is_overdue = self.now.since(attempt.sent_at) > self.max_time(key, attempt);
--- a/crates/balancer-core/src/policy/requests/active_request.rs
+++ b/crates/balancer-core/src/policy/requests/active_request.rs
@@ -29,7 +29,8 @@
     pub state: AttemptState,
 }
 
-/// The record of an accepted request. The record is dropped when the request gets its final response.
+/// The record of an accepted request. The record is dropped when the request gets its final response or the
+/// client disconnects.
 pub struct ActiveRequest {
     /// The request as the client sent it.
     pub request: Request,
--- a/crates/balancer-core/src/policy/retry/budget/tests.rs
+++ b/crates/balancer-core/src/policy/retry/budget/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Spends the whole balance on retries, and returns how many it allowed.
+/// Spends the whole balance on retries, and returns the number of retries.
 fn spend_all(budget: &mut RetryBudget) -> usize {
     let mut retry_count = 0;
     while budget.allows_retry() {
--- a/crates/balancer-core/src/policy/retry/decision.rs
+++ b/crates/balancer-core/src/policy/retry/decision.rs
@@ -25,9 +25,12 @@
 
 /// Returns whether an overdue attempt is cancelled so that its request can be retried.
 ///
-/// The attempt must be the last one that was sent for the request, and the settings must allow cancelling
-/// it. The rules must permit a retry although the attempt may have run. The budget must allow the retry, and
-/// the retry must be able to get a response in time.
+/// The attempt must be the last one that was sent for the request, the request must have attempts left, and
+/// the settings must allow cancelling. The effect of the class must permit a retry although the attempt may
+/// have run. The budget must allow the retry, and the retry must be able to get a response in time.
+///
+/// The window and the scope of a deduplicated class are not checked here. [`may_retry`] checks the window
+/// when the cancelled attempt has ended.
 pub fn may_cancel_and_retry(
     active: &ActiveRequest,
     attempt: AttemptKey,
--- a/crates/balancer-core/src/policy/retry/permission.rs
+++ b/crates/balancer-core/src/policy/retry/permission.rs
@@ -70,7 +70,8 @@
 /// Returns the servers that recognise a retry as a duplicate of `first_run`, which is the first attempt that
 /// may have run.
 ///
-/// No server does so after `write_by`. `latest_write_at` is the latest time at which the retry is written.
+/// After `write_by`, no server recognises the retry. `latest_write_at` is the latest time at which the retry
+/// is written.
 fn deduplicated_scope(
     scope: DedupScope,
     first_run: &Attempt,
--- a/crates/balancer-core/src/policy/server_load/polling.rs
+++ b/crates/balancer-core/src/policy/server_load/polling.rs
@@ -73,8 +73,8 @@
     /// Enables or disables polling after a change of the view.
     ///
     /// Candidates are polled only in a sparse view, where the balancer's own requests in flight say little
-    /// about a server's load. In addition, health checks must be cheap and the only source of reports on
-    /// load.
+    /// about a server's load. In addition, health checks must be allowed, must be cheap, and must be the only
+    /// source of load reports.
     pub fn set_view(&mut self, view: FleetView, settings: &Settings) {
         self.is_enabled = match view {
             FleetView::Dense => false,
--- a/crates/balancer-core/src/policy/shedding/class_order.rs
+++ b/crates/balancer-core/src/policy/shedding/class_order.rs
@@ -8,9 +8,9 @@
 /// queued requests are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedOrder {
-    /// Shed only if shedding the requests with [`First`](Self::First) is not enough.
+    /// The requests are shed after those with [`First`](Self::First).
     Last,
-    /// Shed before the requests with [`Last`](Self::Last).
+    /// The requests are shed before those with [`Last`](Self::Last).
     First,
 }
 
@@ -45,8 +45,9 @@
 /// Returns the shed order of each class, by class id (docs/findings/fleet-shares.md).
 ///
 /// The cost of shedding a set of classes has two terms: the value of their requests, and the loss in the
-/// result of the worst class. The second term is the same for all sets, and the goal weights both terms. The
-/// set with the lowest cost per work freed is shed first. Classes without traffic are shed first too.
+/// result of the worst class, which is the same for all sets. The weights of the terms are in
+/// [`Settings::goal`]. The set with the lowest cost per work freed is shed first. Classes without traffic are
+/// shed first too.
 pub fn rank_classes(settings: &Settings, traffic: &Traffic, latency: &FleetLatency) -> Vec<ShedOrder> {
     let classes = (0..settings.classes.len()).map(ClassId);
     let loads = classes.map(|class| ClassLoad::new(settings, traffic, latency, class));
--- a/crates/balancer-core/src/policy/slow_start.rs
+++ b/crates/balancer-core/src/policy/slow_start.rs
@@ -104,11 +104,11 @@
         self.work_per_warm_server.value_at(now)
     }
 
-    /// Returns whether this work would make the recent work of a server exceed its capacity share of the
-    /// recent work of a warm server.
+    /// Returns whether a server that is sent this work would exceed its allowed recent work.
     ///
-    /// With this limit all balancers together cannot overload the server as long as warm servers are limited
-    /// too. While no serving server is warm, the work is not limited.
+    /// The allowed work is the mean recent work of a warm server, multiplied by the capacity share of the
+    /// server. With this limit, all balancers together cannot overload the server as long as warm servers are
+    /// limited too. While no serving server is warm, the work is not limited.
     pub fn exceeds_share(&self, server: &WarmUpWork, share: CapacityShare, work: Work, now: Time) -> bool {
         if share.is_full() || self.warm_server_count == 0 {
             return false;
--- a/crates/balancer-core/src/policy/suspicion/gossip.rs
+++ b/crates/balancer-core/src/policy/suspicion/gossip.rs
@@ -30,11 +30,11 @@
         self.bytes.refill(BYTES_PER_REQUEST, MAX_BALANCE_BYTES);
     }
 
-    /// Draws the receivers of a round of messages uniformly at random from all balancers, and spends the
-    /// bytes of the messages.
+    /// Draws the receivers of a round of messages uniformly at random from the ids of all balancers, and
+    /// spends the bytes of the messages.
     ///
     /// The number of messages is limited by the budget, by [`MAX_RECEIVERS`] and by the number of other
-    /// balancers. A receiver may be drawn more than once.
+    /// balancers. A receiver may be drawn more than once, and this balancer's own id is not excluded.
     pub fn draw_receivers(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Vec<PeerId> {
         let message_cost = MESSAGE_BYTES as f64;
         let allowed_messages = (self.bytes.balance() / message_cost) as u32;
