--- a/crates/balancer-core/src/policy/watch.rs
+++ b/crates/balancer-core/src/policy/watch.rs
@@ -34,8 +34,8 @@
         self.backoff = (self.backoff * BACKOFF_FACTOR).min(max_backoff);
     }
 
-    /// Resets the delay to its minimum. The [`Balancer`](crate::Balancer) calls this when the endpoint list or
-    /// changes of it have arrived.
+    /// Resets the delay to its minimum. The [`Balancer`](crate::Balancer) calls this when the endpoint list
+    /// or changes of it have arrived.
     pub fn reset_backoff(&mut self) {
         self.backoff = MIN_BACKOFF;
     }
--- a/crates/balancer-settings/src/decision_settings.rs
+++ b/crates/balancer-settings/src/decision_settings.rs
@@ -80,6 +80,7 @@
     }
 }
 
+/// Returns the meaning of the load report field with this name in the settings.
 fn load_report_field(name: &str) -> LoadReportField {
     match name {
         "inflight" => LoadReportField::InFlight,
