--- a/crates/balancer-agent/src/clock.rs
+++ b/crates/balancer-agent/src/clock.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The maximum time after the start of the clock that is added to an instant, about 35 years. A much longer
-/// time would make the addition overflow.
+/// The maximum offset from the start of the clock in a conversion to an instant, about 35 years. Longer
+/// offsets are reduced to this value, because the addition of a much longer one would overflow.
 const MAX_OFFSET: Span = Span::from_micros(1 << 50);
 
 /// A clock that shows Unix time, so that its times can be compared with the start times of servers.
--- a/crates/balancer-agent/src/config.rs
+++ b/crates/balancer-agent/src/config.rs
@@ -1,7 +1,7 @@
 //! The agent's configuration (DEPLOY page, "What an agent is told").
 //!
-//! At the start, the agent reads it from the `PROXY_*` environment variables and from the file whose path is
-//! in `PROXY_CONFIG`. If a value is set in both, the variable takes precedence.
+//! At the start, the agent reads its configuration from the `PROXY_*` environment variables and from the file
+//! whose path is in `PROXY_CONFIG`. If a value is set in both, the variable takes precedence.
 
 use crate::endpoint_list::EndpointList;
 use balancer_core::{DiscoveryMode, Settings, SettingsError};
@@ -121,8 +121,8 @@
     #[serde(default)]
     limits: Limits,
     /// The cached endpoint list, in the form in which discovery sends it; null if the file contains none.
-    #[serde(default)]
-    known: serde_json::Value,
+    #[serde(default, rename = "known")]
+    cached_endpoints: serde_json::Value,
     /// The settings of the balancer and its host.
     settings: WireSettings,
 }
@@ -200,7 +200,7 @@
             max_sockets: resolve_max_sockets(&file.limits)?,
             settings,
             host_settings,
-            cached_endpoints: parse_cached_endpoints(&file.known)?,
+            cached_endpoints: parse_cached_endpoints(&file.cached_endpoints)?,
         })
     }
 }
@@ -236,8 +236,9 @@
         // Changes to the endpoint list arrive only while a watch is open.
         discovery_mode: DiscoveryMode::OnRequest,
         // The protocol assumes that the agent is notified of a change even if no watch is open, and the drain
-        // grace counts from then. A broken watch must therefore be reopened well within the drain grace,
-        // however often it breaks.
+        // grace counts from the assumed notification. A broken watch must therefore be reopened well within
+        // the drain grace, however often it breaks. The maximum delay before the reopening is a fraction of
+        // `max_poll_interval`.
         max_poll_interval: settings.max_poll_interval.min(settings.drain_grace),
         // The conversion from `WireSettings` leaves this field at its default, because connections in the
         // simulator open or fail immediately.
@@ -246,8 +247,9 @@
     }
 }
 
-/// Derives a seed from a text. The deployment writes seeds as hexadecimal numbers, whose value is used. Any
-/// other text is hashed.
+/// Derives a seed from a text: the value of a hexadecimal number, or the hash of any other text.
+///
+/// The deployment writes seeds as hexadecimal numbers.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_name(text))
 }
--- a/crates/balancer-agent/src/discovery.rs
+++ b/crates/balancer-agent/src/discovery.rs
@@ -21,8 +21,8 @@
 /// discovery service that has become unreachable.
 const MAX_CALL_WAIT: Duration = Duration::from_secs(5);
 /// How long a call may take in addition to its wait at discovery. The protocol assumes that the agent is
-/// notified of a change 2 s after the wait at the latest (PROTOCOL page, "Figures"). If a call fails, the
-/// next call must start before then.
+/// notified of a change no later than 2 s after the end of the wait (PROTOCOL page, "Figures"). If a call
+/// fails, the next call must start within these 2 s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The maximum encoded size of a list, in bytes. A parsed list may take ten times its encoded size, and the
 /// process may have no more than 32 MB of memory.
@@ -108,8 +108,8 @@
     _task: ConnectionTask,
 }
 
-/// A client that makes calls to discovery. It keeps its connection for the next call only if the last call
-/// succeeded.
+/// A client that makes calls to discovery. After a call, the client keeps its connection for the next call
+/// only if the call succeeded.
 struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Connection>,
--- a/crates/balancer-agent/src/driver/endpoint_watch.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list, whose entries are translated into the balancer's types.
+//! The watch of the endpoint list, and the translation of the list into the balancer's types.
 
 mod server_list;
 mod server_names;
@@ -27,8 +27,8 @@
         EndpointWatch { discovery: Discovery::new(discovery_address), names: RetainedServerNames::default() }
     }
 
-    /// Starts the watch. It begins with the changes since the last received list, or with the complete list
-    /// if none has been received.
+    /// Starts the watch, which begins with the changes since the last received list, or with the complete
+    /// list if none has been received from this address.
     pub fn start(&mut self, handler: Rc<impl WatchHandler + 'static>) {
         self.discovery.watch(handler);
     }
--- a/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the id of a removed server stays reserved for its name. The balancer keeps the state of a removed
-/// server for a shorter time. If it kept the state for longer, a new server whose name hashes to the same id
-/// would be taken for the removed server.
+/// How long the id of a removed server stays reserved for its name. This is longer than the balancer keeps
+/// the state of a removed server. Otherwise, a new server whose name hashes to the same id would be taken for
+/// the removed server.
 const NAME_RETENTION: Duration = Duration::from_secs(30);
 
 /// A mapping between the names and ids of servers. It contains the servers in the endpoint list and the
@@ -34,7 +34,8 @@
         server
     }
 
-    /// Returns the name of the server with this id, or `None` if the name has been forgotten.
+    /// Returns the name of the server with this id, or `None` if the id is unknown or its name has been
+    /// forgotten.
     pub fn name(&self, server: ServerId) -> Option<&str> {
         self.names.name(server).map(AsRef::as_ref)
     }
--- a/crates/balancer-agent/src/driver/endpoint_watch/translation.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/translation.rs
@@ -19,7 +19,8 @@
     ServerList { endpoints, all_servers }
 }
 
-/// Translates the entry of a server. A start time of 0 means that the server has not started recently.
+/// Translates the entry of a server. A start time of 0 becomes `None`: the server started long ago, or the
+/// entry states no time.
 fn translate_entry(entry: &EndpointEntry, server: ServerId, settings: &HostSettings) -> Endpoint {
     let is_start_time_known = entry.started_at_ms > 0.0;
     Endpoint {
@@ -37,9 +38,10 @@
     }
 }
 
-/// Returns the index of a name in `names`. The index of an unknown name lies above those of the known names
-/// and is derived from the hash of the name. Servers in two unknown zones, for example, are therefore not
-/// taken for servers in the same zone.
+/// Returns the index of a name in `names`. For an unknown name, derives an index from the hash of the name.
+///
+/// The index of an unknown name lies above those of the known names. Servers in two unknown zones, for
+/// example, are therefore not taken for servers in the same zone.
 fn index_of(names: &[String], name: &str) -> u32 {
     let index = names.iter().position(|known| known == name);
     index.unwrap_or_else(|| names.len() + (hash_name(name) as u32 >> 1) as usize) as u32
--- a/crates/balancer-agent/src/endpoint_list.rs
+++ b/crates/balancer-agent/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A complete endpoint list, or the entries that have changed since an earlier one.
+/// A complete endpoint list, or the entries that have changed since an earlier version of the list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointList {
     /// The version of the list.
--- a/crates/balancer-agent/src/framing/client_stream.rs
+++ b/crates/balancer-agent/src/framing/client_stream.rs
@@ -47,7 +47,7 @@
     ///
     /// Setting the option may fail on a connection that has just been accepted and succeed a moment later.
     /// This function is therefore called before each write. Failures are ignored, because without the option
-    /// responses are sent later, but they are sent (docs/findings/closes.md).
+    /// responses are delayed but still sent (docs/findings/closes.md).
     fn set_nodelay(&mut self) {
         if !self.is_nodelay_set {
             self.is_nodelay_set = self.io.inner().set_nodelay(true).is_ok();
@@ -56,8 +56,8 @@
 
     /// Reads bytes from the socket into the framer. Returns `false` at the end of the stream.
     ///
-    /// The stream also reads bytes that the framer drops, because the end of the stream can be detected only
-    /// after them.
+    /// Bytes that the framer drops are read as well, because the end of the stream can be detected only after
+    /// them.
     fn poll_fill_framer(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if self.is_at_end {
             return Poll::Ready(Ok(false));
--- a/crates/balancer-agent/src/framing/connection_state.rs
+++ b/crates/balancer-agent/src/framing/connection_state.rs
@@ -142,7 +142,7 @@
     }
 
     /// Records that the agent has shut down its sending side. Returns whether the client may not have
-    /// received the last response yet.
+    /// received the last response yet. In that case, the connection enters [`Phase::Closing`].
     ///
     /// If hyper has read the stream since that response, the connection was idle, and the client counts as
     /// having received the response.
--- a/crates/balancer-agent/src/http_client.rs
+++ b/crates/balancer-agent/src/http_client.rs
@@ -55,8 +55,8 @@
 {
     let (sender, connection) = builder.handshake(socket).await?;
     let task = tokio::task::spawn_local(async move {
-        // The result is not needed: the sender reports errors, and the count of written bytes shows how much
-        // was sent.
+        // The result is not needed: the sender reports errors. On a connection to a server, the count of
+        // written bytes shows how much was sent.
         let _ = connection.await;
     });
     Ok(HttpConnection { sender, task: ConnectionTask(task) })
--- a/crates/balancer-agent/src/listener/client_connection.rs
+++ b/crates/balancer-agent/src/listener/client_connection.rs
@@ -123,8 +123,8 @@
     }
 
     /// Returns whether a shutdown must wait for a request before it may close the connection: for the first
-    /// request, or for the rest of one that has been received in part. The response to that request closes
-    /// the connection.
+    /// request, or for the rest of one that has been received in part. The connection is closed after the
+    /// response to that request.
     fn is_awaiting_request(&self) -> bool {
         matches!(self.state.phase(), Phase::Silent | Phase::Receiving)
     }
--- a/crates/balancer-agent/src/listener/connection_table.rs
+++ b/crates/balancer-agent/src/listener/connection_table.rs
@@ -76,7 +76,7 @@
     }
 
     /// Requests the eviction of the evictable connection with the lowest [`EvictionRank`], if there is one.
-    /// The close of this connection costs its client least.
+    /// Closing this connection costs its client least.
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let evictable = connections.values().filter(|connection| is_evictable(connection.state()));
--- a/crates/balancer-agent/src/listener/shutdown.rs
+++ b/crates/balancer-agent/src/listener/shutdown.rs
@@ -8,7 +8,7 @@
 /// How long new connections are accepted after SIGTERM. Clients continue to connect for a while after it.
 const ACCEPT_TIME: Duration = Duration::from_millis(650);
 /// The maximum time for responses after [`ACCEPT_TIME`], even if clients wait longer. The agent must exit
-/// before SIGKILL, which follows SIGTERM no sooner than after 0.7 s plus the longest timeout of a class
+/// before SIGKILL, which is sent no sooner than 0.7 s plus the longest timeout of a class after SIGTERM
 /// (PROTOCOL page, "Figures").
 const MAX_RESPONSE_TIME: Duration = Duration::from_secs(3);
 /// The time for writing the last responses before the agent exits.
--- a/crates/balancer-agent/src/listener/slot_usage.rs
+++ b/crates/balancer-agent/src/listener/slot_usage.rs
@@ -1,8 +1,8 @@
 //! The usage of the slots for client connections.
 
 /// The minimum fraction of slots in use at which usage is elevated. The number of connections that a client
-/// may hold is limited and includes connections that the client has abandoned. Connections therefore become
-/// scarce well before all slots are in use.
+/// may hold is limited and includes connections that the client has abandoned. Clients may therefore reach
+/// their limits well before all slots are in use.
 const MIN_ELEVATED_USAGE_FRACTION: f64 = 0.25;
 /// The minimum fraction of slots in use at which usage is high. Closing idle connections is not enough then:
 /// clients that send one request per connection and keep the connection open reach the number of connections
@@ -12,7 +12,7 @@
 /// The level of slot usage, which decides when connections are closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotUsage {
-    /// Idle connections are closed after `MAX_IDLE_TIME`.
+    /// Idle connections are closed after `time_limits::MAX_IDLE_TIME`.
     Low,
     /// Idle connections are closed as soon as this is permitted, after
     /// [`MIN_IDLE_TIME`](super::time_limits::MIN_IDLE_TIME).
--- a/crates/balancer-agent/src/listener/time_limits.rs
+++ b/crates/balancer-agent/src/listener/time_limits.rs
@@ -29,6 +29,7 @@
 
 /// The time limits of one connection.
 pub struct TimeLimits {
+    /// When the connection was accepted, or when a slot became free for the connection if it had to wait.
     accepted_at: Instant,
     longest_timeout: Duration,
 }
--- a/crates/balancer-agent/src/main.rs
+++ b/crates/balancer-agent/src/main.rs
@@ -35,7 +35,7 @@
 /// The exit code of an agent that cannot start or continue.
 const EXIT_FAILURE: u8 = 2;
 
-/// An error because of which the agent cannot start or continue.
+/// An error that prevents the agent from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 enum AgentError {
     #[error(transparent)]
@@ -85,7 +85,7 @@
     std::env::var(name).ok()
 }
 
-/// Loads the configuration, and serves on a new runtime until the agent shuts down.
+/// Loads the configuration, and serves clients on a new runtime until the agent shuts down.
 fn run() -> Result<(), AgentError> {
     let config = Config::load(environment_variable)?;
     let runtime =
--- a/crates/balancer-agent/src/upstream/attempt.rs
+++ b/crates/balancer-agent/src/upstream/attempt.rs
@@ -27,7 +27,8 @@
         AttemptProgress { write_by, ..AttemptProgress::default() }
     }
 
-    /// Records that the request is about to be written to a connection.
+    /// Records that the request is about to be written to a connection, and sets the connection's write
+    /// deadline.
     pub fn start_writing(&self, request_write: RequestWrite) {
         request_write.set_write_by(self.write_by);
         *self.request_write.borrow_mut() = Some(request_write);
--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -55,6 +55,7 @@
 /// opens new connections, and limits the number of connections.
 pub struct ConnectionPool {
     connect_timeout: Duration,
+    /// How long a connection may be idle before the pool closes it.
     max_idle_time: Duration,
     slots: ConnectionSlots,
     servers: RefCell<HashMap<ServerId, PooledServer>>,
@@ -201,7 +202,7 @@
     }
 
     /// Reserves a slot for one more connection. If all slots are in use, closes the connection that has been
-    /// idle for longest to free one. Returns `None` if no connection is idle.
+    /// idle for longest to free its slot. Returns `None` if all slots are in use and no connection is idle.
     fn reserve_slot(&self) -> Option<ConnectionSlot> {
         if self.slots.is_exhausted() && !self.close_least_recently_used() {
             return None;
