--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -15,8 +15,8 @@
 
 /// Decodes an event into an event of the balancer.
 ///
-/// Returns `None` for an event that the balancer does not handle: an event of a request that is unknown, a
-/// timer with an unknown number, or an event that the host handles itself.
+/// Returns `None` for an event that the balancer does not handle: an event of an unknown request, a timer
+/// with an unknown number, or an event that the host handles itself.
 ///
 /// # Errors
 ///
--- a/crates/simulator-adapter/src/notice_text.rs
+++ b/crates/simulator-adapter/src/notice_text.rs
@@ -2,7 +2,8 @@
 
 use balancer_core::Notice;
 
-/// Returns the text of a notice. The text refers to a server by its id, which is the same in every instance.
+/// Returns the text of a notice. The text refers to a server by its id, which each instance derives from the
+/// name of the server.
 pub fn format_notice(notice: &Notice) -> String {
     match notice {
         Notice::ServerEjected { server, reason, latency_ratio, fleet_median } => format!(
