--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -46,8 +46,9 @@
     }
 }
 
-/// Occasional rejections show that some servers have short queues, not that the fleet is overloaded. The
-/// rejected requests are retried at other servers. In this test a fifth of the servers reject all attempts.
+/// Occasional rejections show that some servers can queue only a few requests, not that the fleet is
+/// overloaded. The rejected requests are retried at other servers. In this test a fifth of the servers reject
+/// all attempts.
 #[test]
 fn single_rejections_do_not_lower_admission() {
     let mut harness = sparse_harness(5, 50);
--- a/crates/balancer-core/tests/common/observed_request.rs
+++ b/crates/balancer-core/tests/common/observed_request.rs
@@ -75,7 +75,7 @@
         self.attempts.iter().any(ObservedAttempt::is_in_flight)
     }
 
-    /// Returns the earliest attempt after which the request may have run.
+    /// Returns the first attempt that may have run the request, or `None` if no attempt can have run it.
     pub fn first_attempt_that_may_have_run(&self) -> Option<&ObservedAttempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
--- a/crates/balancer-core/tests/concurrency_limit.rs
+++ b/crates/balancer-core/tests/concurrency_limit.rs
@@ -23,7 +23,7 @@
     sent_count
 }
 
-/// Concurrency limits must grow again even from one and a half.
+/// A concurrency limit that late responses have lowered, even to 1.5, must be able to grow again.
 #[test]
 fn late_responses_lower_concurrency_and_quick_responses_restore_it() {
     let mut harness = Harness::with_endpoints(six_attempt_settings(), 1, fleet(2));
--- a/crates/balancer-core/tests/final_responses.rs
+++ b/crates/balancer-core/tests/final_responses.rs
@@ -123,9 +123,9 @@
     }
 }
 
-/// The balancer rejects queued requests during its periodic work, in ticks. A request that is queued must not
-/// postpone the next tick. Otherwise a steady stream of requests would prevent every tick, and queued
-/// requests would pass their deadline without a final response.
+/// The balancer rejects queued requests in its periodic ticks. A newly queued request must not postpone the
+/// next tick. Otherwise a steady stream of requests would prevent every tick, and queued requests would pass
+/// their deadline without a final response.
 #[test]
 fn requests_arriving_with_each_tick_do_not_starve_the_tick() {
     let mut harness = Harness::new(settings(), 1);
--- a/crates/balancer-core/tests/random_events/attempts.rs
+++ b/crates/balancer-core/tests/random_events/attempts.rs
@@ -87,8 +87,10 @@
         });
     }
 
-    /// Cancels an attempt by moving its timeout to `now`, unless its response has begun to stream. The
-    /// attempt ends at the same time as a cancelled attempt would, but it ends with `Outcome::TimedOut`.
+    /// Cancels an attempt by moving its timeout to `now`, unless its response has begun to stream.
+    ///
+    /// The attempt ends in the next step with `Outcome::TimedOut` instead of `Outcome::Cancelled`, unless its
+    /// response begins to stream in that step.
     fn cancel(&mut self, now: Time, request: RequestId, attempt: AttemptNumber) {
         let is_cancelled = |candidate: &&mut InFlightAttempt| {
             candidate.request == request && candidate.attempt == attempt && !candidate.is_streaming
--- a/crates/balancer-core/tests/random_events/generator.rs
+++ b/crates/balancer-core/tests/random_events/generator.rs
@@ -155,7 +155,7 @@
         self.harness.handle(Event::Endpoints(update)).to_vec()
     }
 
-    /// Ends the attempts that have timed out, like the host of a balancer. Returns the balancer's actions.
+    /// Ends the attempts that have timed out, as the host of a balancer does. Returns the balancer's actions.
     fn end_timed_out_attempts(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(ended) = self.attempts.remove_timed_out(self.harness.now) {
--- a/crates/balancer-core/tests/recorded_actions/clients.rs
+++ b/crates/balancer-core/tests/recorded_actions/clients.rs
@@ -113,7 +113,7 @@
     }
 
     /// Starts to stream the response to the last attempt of a request. Returns the number of that attempt, or
-    /// `None` if the request is finished or has not been sent.
+    /// `None` if the request is finished or has had no attempt.
     pub fn begin_stream(&mut self, request: RequestId) -> Option<AttemptNumber> {
         let request = self.request_mut(request);
         if request.is_finished || request.attempt_count == 0 {
--- a/crates/balancer-core/tests/recorded_actions/main.rs
+++ b/crates/balancer-core/tests/recorded_actions/main.rs
@@ -3,7 +3,8 @@
 //!
 //! A balancer reads no clock and starts no thread, so equal seeds and events give equal actions. A change
 //! that is not meant to affect decisions (names, modules, types) must leave every digest as it is. A change
-//! that is meant to affect decisions is a commit of its own, which records the new digests and says so.
+//! that is meant to affect decisions must be in a commit of its own, which records the new digests and states
+//! that decisions change.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -65,8 +66,8 @@
     assert!(differences.is_empty(), "actions differ from the recorded ones:\n{}", differences.join("\n"));
 }
 
-/// Guards against scenarios in which the balancer takes few actions or few kinds of action. The digests of
-/// such scenarios would hardly ever show a changed decision.
+/// Guards against a scenario in which the balancer sends few attempts, and against a kind of action that is
+/// rare in all scenarios. The digests would hardly ever show a changed decision in these cases.
 #[test]
 fn scenarios_cover_every_kind_of_action() {
     let mut totals: BTreeMap<ActionKind, u64> = BTreeMap::new();
--- a/crates/balancer-core/tests/recorded_actions/simulation.rs
+++ b/crates/balancer-core/tests/recorded_actions/simulation.rs
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Starts to stream the response to a request, unless the request is finished or has not been sent.
+    /// Starts to stream the response to a request, unless the request is finished or has had no attempt.
     fn begin_stream(&mut self, request: RequestId) {
         if let Some(attempt) = self.clients.begin_stream(request) {
             self.handle(Event::FirstByte { request, attempt });
--- a/crates/balancer-core/tests/settings.rs
+++ b/crates/balancer-core/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Tests that `Balancer::new` returns an error for invalid settings, and that one request class is all that
-//! settings need.
+//! Tests that `Balancer::new` returns an error for invalid settings, that one request class is all that
+//! settings need, and that a request of an unknown class is rejected.
 
 mod common;
 
