--- a/crates/balancer-agent/tests/attempts_and_retries.rs
+++ b/crates/balancer-agent/tests/attempts_and_retries.rs
@@ -43,16 +43,17 @@
     );
 }
 
-/// A server may have processed an unsafe request if the connection breaks after the request's last byte. The
-/// agent neither retries nor rejects such a request, because the client may retry a rejected request.
+/// A server may have processed a request if the connection breaks after the request's last byte. The agent
+/// does not retry an at-most-once request then. It does not reject the request either, because the client may
+/// retry a rejected request.
 #[tokio::test]
-async fn an_unsafe_request_is_not_retried_if_the_connection_breaks_after_its_last_byte() {
+async fn an_at_most_once_request_is_not_retried_if_the_connection_breaks_after_its_last_byte() {
     assert_not_retried(ServerReply::Close(Vec::new())).await;
 }
 
 /// A server that has refused the connect has not processed the request, so any class may be retried.
 #[tokio::test]
-async fn an_unsafe_request_is_retried_elsewhere_after_a_refused_connect() {
+async fn an_at_most_once_request_is_retried_elsewhere_after_a_refused_connect() {
     let mut server = TestServer::responding_with("x").await;
     let discovery = TestDiscovery::silent().await;
     let refusing_address = RefusingAddress::reserve();
@@ -69,11 +70,12 @@
 /// Only `X-Not-Processed: 1` proves that a request was not processed. A server may send a plain 503 after it
 /// has processed the request.
 #[tokio::test]
-async fn an_unsafe_request_is_not_retried_after_a_plain_503() {
+async fn an_at_most_once_request_is_not_retried_after_a_plain_503() {
     assert_not_retried(ServerReply::KeepOpen(PLAIN_503.to_vec())).await;
 }
 
-/// Asserts that the agent sends an unsafe request once and fails it if the only server sends this reply.
+/// Asserts that the agent sends an at-most-once request once and fails it if the only server sends this
+/// reply.
 async fn assert_not_retried(reply: ServerReply) {
     let mut server = TestServer::start(move |_| reply.clone()).await;
     let agent = start_agent(server.address).await;
@@ -86,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn an_unsafe_request_is_retried_after_a_503_marked_not_processed() {
+async fn an_at_most_once_request_is_retried_after_a_503_marked_not_processed() {
     let rejection = ServerReply::KeepOpen(NOT_PROCESSED_503.to_vec());
     let success = ServerReply::KeepOpen(ok_response("x"));
     let mut server = TestServer::replying_in_order(vec![rejection, success]).await;
--- a/crates/balancer-agent/tests/common/config.rs
+++ b/crates/balancer-agent/tests/common/config.rs
@@ -15,7 +15,7 @@
     Read,
     /// The class `save`, whose requests servers deduplicate by their idempotency key.
     Save,
-    /// The class `pay`, whose requests are unsafe: each may be processed at most once.
+    /// The class `pay`, whose requests may each be processed at most once.
     Pay,
 }
 
--- a/crates/balancer-agent/tests/common/server.rs
+++ b/crates/balancer-agent/tests/common/server.rs
@@ -9,7 +9,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
 
-/// The maximum number of requests and closed connections that the test has not read.
+/// The capacity of the two channels to the test: the maximum number of requests, and of closed connections,
+/// that the test has not read.
 const CHANNEL_CAPACITY: usize = 1024;
 
 /// A gate that holds responses until the test releases them.
@@ -113,8 +114,8 @@
         Self::start(move |_| held_reply.clone()).await
     }
 
-    /// Starts a server that sends this response to each request of the class `pay` once the gate releases it,
-    /// and replies to other requests at once.
+    /// Starts a server that sends `payment_response` to each request of the class `pay` once the gate
+    /// releases it, and handles other requests with `other_reply`.
     pub async fn holding_payments(
         gate: &ResponseGate,
         payment_response: Vec<u8>,
--- a/crates/balancer-agent/tests/graceful_shutdown.rs
+++ b/crates/balancer-agent/tests/graceful_shutdown.rs
@@ -46,8 +46,10 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// A client that behaves like the clients of the platform. It reuses its connection, opens new connections
-/// for a while after SIGTERM, and retries a request once if the connection is closed without a response.
+/// A client that behaves like the clients of a deployed agent.
+///
+/// The client reuses its connection, opens new connections for a while after SIGTERM, and retries a request
+/// once if the connection is closed without a response.
 struct LoadClient {
     agent_address: SocketAddr,
     /// The connection to reuse for the next request.
