--- a/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
+++ b/crates/balancer-agent/src/driver/endpoint_watch/server_names.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the id of a removed server stays reserved for its name. This is longer than the balancer keeps
-/// the state of a removed server that has no attempts in flight. Otherwise, a new server whose name hashes to
-/// the same id would be taken for the removed server.
+/// Minimum time for which the id of a removed server stays reserved for its name. This is longer than the
+/// minimum time for which the balancer keeps the state of a removed server. Otherwise, a new server whose
+/// name hashes to the same id could be taken for the removed server.
 const NAME_RETENTION: Duration = Duration::from_secs(30);
 
 /// A mapping between the names and ids of servers. It contains the servers in the endpoint list and the
--- a/crates/balancer-core/src/event.rs
+++ b/crates/balancer-core/src/event.rs
@@ -58,7 +58,8 @@
     ConnectionReset,
     /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// The attempt was never sent, because the request was finished or had no attempts or time left.
+    /// The host did not send the attempt or the health check, or cancelled the attempt before its last byte
+    /// was written. The request did not run.
     NotSent,
 }
 
