--- a/crates/balancer-agent/src/upstream/pool.rs
+++ b/crates/balancer-agent/src/upstream/pool.rs
@@ -156,7 +156,8 @@
     /// # Errors
     ///
     /// * [`Outcome::NotSent`] if no connection slot is free, the server's address is unknown or the server
-    ///   accepts no new requests. None of these counts as a failure of the server.
+    ///   accepts no new requests. For an attempt, this does not count as a failure of the server. A health
+    ///   check with this outcome has failed, so that the balancer may eject or suspect the server.
     /// * [`Outcome::ConnectFailed`] if the connection could not be opened in time.
     pub async fn acquire(self: &Rc<Self>, server: ServerId) -> Result<Connection, Outcome> {
         loop {
--- a/crates/balancer-core/src/event.rs
+++ b/crates/balancer-core/src/event.rs
@@ -52,7 +52,8 @@
     Rejected,
     /// No response came in time. The request may have run or may still be running.
     TimedOut,
-    /// No connection could be established in time. The request did not run.
+    /// No connection could be established in time; or, before the last byte of the attempt was written, the
+    /// attempt timed out, its connection broke or the server violated the protocol. The request did not run.
     ConnectFailed,
     /// The connection broke. The request may have run.
     ConnectionReset,
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -255,7 +255,8 @@
     /// No response came in time. The request may have run or may still be running.
     #[serde(rename = "etimedout")]
     TimedOut,
-    /// No connection could be established in time. The request did not run.
+    /// No connection for the attempt or the health check could be established in time. The request did not
+    /// run.
     #[serde(rename = "econnrefused")]
     ConnectFailed,
     /// The connection broke. The request may have run.
@@ -264,7 +265,7 @@
     /// The attempt was cancelled. The request may have run.
     #[serde(rename = "ecanceled")]
     Cancelled,
-    /// The attempt was never sent.
+    /// The attempt or the health check was not sent. The request did not run.
     #[serde(rename = "skipped")]
     NotSent,
 }
